--- a/libs/dissemination/src/record_store.cpp
+++ b/libs/dissemination/src/record_store.cpp
@@ -30,8 +30,8 @@
   std::vector<Patch> patches;
   if (held != nullptr) {
     std::string data = MakePatch(*held->value, value);
-    const bool worth_it = data.size() * 2 < value.size();
-    if (worth_it) {
+    const bool saves_space = data.size() * 2 < value.size();
+    if (saves_space) {
       patches = held->patches;
       patches.push_back({held->stamp, std::move(data)});
     }
@@ -54,7 +54,7 @@
   return PutResult::kStored;
 }
 
-// Keeps the newest patches, as long as a chain of them is shorter than the record itself.
+// Keeps the newest patches, as long as they take at most half the size of the value in total.
 void RecordStore::DropOldPatches(std::size_t value_bytes, std::vector<Patch>& patches) const {
   std::size_t kept = 0;
   std::size_t bytes = 0;
--- a/libs/membership/src/proximity.h
+++ b/libs/membership/src/proximity.h
@@ -1,4 +1,4 @@
-// How far apart two members are.
+// The network distance between two members.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 enum class Proximity : std::uint8_t { kSameZone = 0, kSameRegion = 1, kOtherRegion = 2 };
 
-// Judges members as seen from one place.
-class ProximityJudge {
+// Classifies members by their distance from one zone.
+class ProximityClassifier {
  public:
-  ProximityJudge(std::string region, std::string zone)
+  ProximityClassifier(std::string region, std::string zone)
       : region_(std::move(region)), zone_(std::move(zone)) {}
 
   Proximity Of(const MemberMetadata& metadata) const {
--- a/libs/membership/tests/byte_budget_test.cpp
+++ b/libs/membership/tests/byte_budget_test.cpp
@@ -1,4 +1,5 @@
-// The budget of bytes by itself, and kept by a core that others ask for all they can.
+// Tests of the byte budget on its own, and of a core that stays within it while other nodes send
+// more requests than it can answer.
 #include "byte_budget.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,8 +21,9 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kMembers = 2000;
-constexpr std::size_t kBudget = 5000;       // the deployment's, for a node's control in a second
-constexpr std::size_t kEnvelopeBytes = 43;  // with an IPv4 address, and nng's 8 of length
+constexpr std::size_t kBudget = 5000;  // a node's limit for control traffic in one second
+constexpr std::size_t kEnvelopeBytes =
+    43;  // with an IPv4 address and nng's length prefix of 8 bytes
 
 base::TimePoint At(int millisecond) { return base::TimePoint(milliseconds(millisecond)); }
 
@@ -30,37 +32,38 @@
   CPPUNIT_TEST(HoldsInEveryWindow);
   CPPUNIT_TEST(KeepsTheReserveForProbes);
   CPPUNIT_TEST(ProbesWithinTheReserveLeaveRepairItsShare);
-  CPPUNIT_TEST(CoreKeepsItWhenAskedForMore);
+  CPPUNIT_TEST(CoreStaysWithinBudgetUnderLoad);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void HoldsInEveryWindow() {
     ByteBudget budget(1000, 0);
-    budget.Note(600, Urgency::kRepair, At(0));
-    budget.Note(400, Urgency::kProbe, At(900));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.Room(Urgency::kProbe, At(1000)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{600}, budget.Room(Urgency::kProbe, At(1001)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{600}, budget.Room(Urgency::kRepair, At(1001)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1000}, budget.Room(Urgency::kProbe, At(1901)));
+    budget.RecordSent(600, SendPriority::kRepair, At(0));
+    budget.RecordSent(400, SendPriority::kProbe, At(900));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.AvailableBytes(SendPriority::kProbe, At(1000)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{600}, budget.AvailableBytes(SendPriority::kProbe, At(1001)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{600}, budget.AvailableBytes(SendPriority::kRepair, At(1001)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1000}, budget.AvailableBytes(SendPriority::kProbe, At(1901)));
   }
 
   void KeepsTheReserveForProbes() {
     ByteBudget budget(1000, 300);
-    budget.Note(700, Urgency::kRepair, At(0));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.Room(Urgency::kRepair, At(0)));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{300}, budget.Room(Urgency::kProbe, At(0)));
-    budget.Note(500, Urgency::kAnswer, At(0));  // answers went beyond
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.Room(Urgency::kProbe, At(0)));
+    budget.RecordSent(700, SendPriority::kRepair, At(0));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.AvailableBytes(SendPriority::kRepair, At(0)));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{300}, budget.AvailableBytes(SendPriority::kProbe, At(0)));
+    budget.RecordSent(500, SendPriority::kUnlimited, At(0));  // exceeds the budget
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.AvailableBytes(SendPriority::kProbe, At(0)));
   }
 
-  // Found by the proof: probes used up what repair needed for an offer, so that views stayed wrong.
+  // Guards against probes consuming the share that repair needs for a digest offer, after which
+  // views stayed wrong. Found by the proof.
   void ProbesWithinTheReserveLeaveRepairItsShare() {
     ByteBudget budget(1000, 300);
-    budget.Note(300, Urgency::kProbe, At(0));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{700}, budget.Room(Urgency::kRepair, At(0)));
+    budget.RecordSent(300, SendPriority::kProbe, At(0));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{700}, budget.AvailableBytes(SendPriority::kRepair, At(0)));
   }
 
-  void CoreKeepsItWhenAskedForMore() {
+  void CoreStaysWithinBudgetUnderLoad() {
     Membership core(base::NodeId(1), MakeMetadata(), {}, 1);
     core.Preload(MakeMembers());
     MembershipActions actions;
@@ -68,10 +71,10 @@
     std::deque<std::pair<base::TimePoint, std::size_t>> window;
     std::size_t sum = 0;
     std::size_t largest = 0;
-    constexpr int kStep = 20;
-    constexpr int kEnd = 10'000;
-    for (int now = 0; now < kEnd; now += kStep) {
-      AskForAll(core, now, actions);
+    constexpr int kStepMilliseconds = 20;
+    constexpr int kEndMilliseconds = 10'000;
+    for (int now = 0; now < kEndMilliseconds; now += kStepMilliseconds) {
+      SendAllRequestKinds(core, now, actions);
       core.OnTick(At(now), actions);
       for (const auto& message : actions.messages) {
         window.emplace_back(At(now), message.payload.size() + kEnvelopeBytes);
@@ -85,9 +88,9 @@
       largest = std::max(largest, sum);
     }
     CPPUNIT_ASSERT_MESSAGE(std::to_string(largest) + " bytes in a second", largest <= kBudget);
-    // It isn't kept by silence: pages go out, and probes do all the while.
+    // The core must not meet the limit by sending nothing: pages and probes continue.
     CPPUNIT_ASSERT(largest > kBudget / 2);
-    CPPUNIT_ASSERT(core.Counters().pages_served >= 10);  // one a second
+    CPPUNIT_ASSERT(core.Counters().pages_served >= 10);  // one per second
     CPPUNIT_ASSERT(core.Counters().pages_refused > 10);
     CPPUNIT_ASSERT(core.Counters().probes_started >= 20);
   }
@@ -114,8 +117,8 @@
     return members;
   }
 
-  // One joining node asks for a page, others for records and comparisons.
-  static void AskForAll(Membership& core, int now, MembershipActions& actions) {
+  // Sends a page request, a record request and a digest offer, all from one member.
+  static void SendAllRequestKinds(Membership& core, int now, MembershipActions& actions) {
     const auto members = MakeMembers();
     const Member& asking = members.at(static_cast<std::size_t>(now) % kMembers);
     const transport::SenderIdentity sender{
--- a/libs/membership/tests/group_summary_test.cpp
+++ b/libs/membership/tests/group_summary_test.cpp
@@ -26,15 +26,15 @@
 
 class GroupSummaryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupSummaryTest);
-  CPPUNIT_TEST(SaysWhoDiedInAFewBytes);
-  CPPUNIT_TEST(NamesOnlyThoseAtTheSameRefutations);
-  CPPUNIT_TEST(MeansNothingToOtherBases);
+  CPPUNIT_TEST(EncodesDeadMembersCompactly);
+  CPPUNIT_TEST(IncludesOnlyMembersWithEqualRefutations);
+  CPPUNIT_TEST(IsIgnoredWhenBasesDiffer);
   CPPUNIT_TEST(StateOfMembersDoesNotChangeTheBase);
-  CPPUNIT_TEST(MalformedSummariesMeanNothing);
+  CPPUNIT_TEST(MalformedSummariesAreIgnored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SaysWhoDiedInAFewBytes() {
+  void EncodesDeadMembersCompactly() {
     MemberTable sender = MakeTable(kMembers);
     for (std::size_t index = 0; index < kMembers; index += 2) {
       sender.Merge(MakeRecord(index, 0, MemberState::kDead), {});
@@ -48,10 +48,10 @@
       CPPUNIT_ASSERT(sender.Find(record.node)->state == MemberState::kDead);
       CPPUNIT_ASSERT(receiver.Merge(record, {}).outcome == MergeOutcome::kChanged);
     }
-    CPPUNIT_ASSERT(DecodeSummary(receiver, summary, false).empty());  // no news any more
+    CPPUNIT_ASSERT(DecodeSummary(receiver, summary, false).empty());  // already known
   }
 
-  void NamesOnlyThoseAtTheSameRefutations() {
+  void IncludesOnlyMembersWithEqualRefutations() {
     MemberTable sender = MakeTable(kMembers);
     sender.Merge(MakeRecord(0, 0, MemberState::kDead), {});
     sender.Merge(MakeRecord(1, 1, MemberState::kDead), {});
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT(records.front().node == MakeRecord(1, 1, MemberState::kDead).node);
   }
 
-  void MeansNothingToOtherBases() {
+  void IsIgnoredWhenBasesDiffer() {
     MemberTable sender = MakeTable(kMembers);
     sender.Merge(MakeRecord(0, 0, MemberState::kDead), {});
     const proto::GroupSummary summary = Summarise(sender, 0, 1);
@@ -85,7 +85,7 @@
                          DecodeSummary(receiver, Summarise(sender, 0, 1), false).size());
   }
 
-  void MalformedSummariesMeanNothing() {
+  void MalformedSummariesAreIgnored() {
     MemberTable sender = MakeTable(kMembers);
     sender.Merge(MakeRecord(0, 0, MemberState::kDead), {});
     proto::GroupSummary summary = Summarise(sender, 0, 1);
@@ -110,7 +110,8 @@
     return table;
   }
 
-  // Returns the summary of the dead at these refutations, who must be so many.
+  // Returns the summary of the dead members with this number of refutations. Fails unless it covers
+  // `members`.
   static proto::GroupSummary Summarise(const MemberTable& table, std::uint64_t refutations,
                                        std::size_t members) {
     SummaryKey key = SummaryOf(table.Members().begin()->second);
--- a/libs/membership/tests/membership_test.cpp
+++ b/libs/membership/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// The core in small simulated groups.
+// Tests of the core in small simulated groups.
 #include "gaugevalve/membership/membership.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,17 +26,17 @@
   CPPUNIT_TEST_SUITE(MembershipTest);
   CPPUNIT_TEST(JoinsBySeedsAlone);
   CPPUNIT_TEST(DeadMemberIsReportedByAll);
-  CPPUNIT_TEST(FarewellIsNoFailure);
-  CPPUNIT_TEST(RestartIsANewLife);
+  CPPUNIT_TEST(LeavingIsNotReportedAsFailure);
+  CPPUNIT_TEST(RestartIsReported);
   CPPUNIT_TEST(FrozenMemberLearnsThatItWasDeclaredDead);
   CPPUNIT_TEST(BriefFreezeIsRefuted);
-  CPPUNIT_TEST(RegionsFindEachOtherAgain);
+  CPPUNIT_TEST(RegionsRejoinAfterPartition);
   CPPUNIT_TEST(MetadataChangeIsSeenByAll);
-  CPPUNIT_TEST(FormerLifeEndsWhenItMeetsItsSuccessor);
-  CPPUNIT_TEST(SuccessorAtTheAddressDoesNotAnswerForAnother);
-  CPPUNIT_TEST(ShortRefutationNeedsItsMetadata);
-  CPPUNIT_TEST(RestartWithAClockSetBackIsANewLife);
-  CPPUNIT_TEST(LongNamesAreRefused);
+  CPPUNIT_TEST(FormerProcessIsSuperseded);
+  CPPUNIT_TEST(NodeAtReusedAddressDoesNotAckForFormerOwner);
+  CPPUNIT_TEST(FingerprintRefutationRequiresMetadata);
+  CPPUNIT_TEST(RestartWithClockSetBackIsNotSuperseded);
+  CPPUNIT_TEST(LongNamesAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -66,7 +66,7 @@
     CPPUNIT_ASSERT_EQUAL(kMembers - 1, TotalOf(EventKind::kFailed));
   }
 
-  void FarewellIsNoFailure() {
+  void LeavingIsNotReportedAsFailure() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
     group_->Leave(9);
@@ -77,7 +77,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, TotalOf(EventKind::kFailed));
   }
 
-  void RestartIsANewLife() {
+  void RestartIsReported() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
     const base::Incarnation former = group_->Life(9).Core().Self().incarnation;
@@ -96,7 +96,7 @@
     ExpectConvergence(seconds(60));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Observers(EventKind::kSelfPaused, 9));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Observers(EventKind::kSelfDeclaredDead, 9));
-    // It woke with old news, and took nobody else for dead.
+    // The thawed member had an outdated view, but must not declare any other member dead.
     CPPUNIT_ASSERT_EQUAL(kMembers - 1, TotalOf(EventKind::kFailed));
   }
 
@@ -111,11 +111,12 @@
     CPPUNIT_ASSERT(Observers(EventKind::kRecovered, 9) > 0);
   }
 
-  void RegionsFindEachOtherAgain() {
+  void RegionsRejoinAfterPartition() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
     simulator_->Network().BlockRegions("north", "south");
-    const bool is_split = simulator_->RunUntil([this] { return EachSeesHalf(); }, minutes(3));
+    const bool is_split =
+        simulator_->RunUntil([this] { return EachRegionSeesOnlyItself(); }, minutes(3));
     CPPUNIT_ASSERT(is_split);
     simulator_->RunFor(minutes(5));
     simulator_->Network().HealPartitions();
@@ -133,8 +134,9 @@
     CPPUNIT_ASSERT_EQUAL(kMembers - 1, Observers(EventKind::kChanged, 9));
   }
 
-  void FormerLifeEndsWhenItMeetsItsSuccessor() {
-    // Both run: the former is frozen while a process with its identity starts elsewhere.
+  void FormerProcessIsSuperseded() {
+    // The former process is frozen while a process with the same identity starts at another
+    // address.
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
     simulator_->Freeze(group_->Index(9));
@@ -158,7 +160,7 @@
     CPPUNIT_ASSERT(simulator_->State(successor) == simulation::NodeState::kRunning);
   }
 
-  void SuccessorAtTheAddressDoesNotAnswerForAnother() {
+  void NodeAtReusedAddressDoesNotAckForFormerOwner() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
     group_->Kill(9);
@@ -173,12 +175,13 @@
     CPPUNIT_ASSERT(group_->Life(3).Core().Find(settings.node)->state == MemberState::kAlive);
   }
 
-  // Found by the proof: a member that had missed a change, but not the death after it, took the
-  // refutation of that death together with the metadata of before the change.
-  void ShortRefutationNeedsItsMetadata() {
+  // Guards against a refutation being combined with outdated metadata. A member that had missed a
+  // metadata change, but not the death after it, applied the refutation of that death to the
+  // metadata from before the change. Found by the proof.
+  void FingerprintRefutationRequiresMetadata() {
     constexpr base::NodeId kOther(9);
     constexpr base::Incarnation kKnown(10);
-    constexpr base::Incarnation kDiedAt(11);  // where its metadata had changed too
+    constexpr base::Incarnation kDiedAt(11);  // its metadata had changed at this incarnation, too
     Member other{
         kOther, kKnown, kKnown, MemberState::kAlive, {}, std::make_shared<MemberMetadata>()};
     Membership core(base::NodeId(1), {}, {}, kSeed);
@@ -197,7 +200,7 @@
     CPPUNIT_ASSERT(core.Find(kOther)->state == MemberState::kDead);
   }
 
-  void RestartWithAClockSetBackIsANewLife() {
+  void RestartWithClockSetBackIsNotSuperseded() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
     const base::Incarnation former = group_->Life(9).Core().Self().incarnation;
@@ -210,7 +213,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Observers(EventKind::kSelfSuperseded, 9));
   }
 
-  void LongNamesAreRefused() {
+  void LongNamesAreRejected() {
     MemberMetadata metadata;
     metadata.zone = std::string(kMaximumNameBytes + 1, 'z');
     CPPUNIT_ASSERT_THROW(Membership(base::NodeId(1), metadata, {}, 1), std::invalid_argument);
@@ -245,7 +248,7 @@
     CPPUNIT_ASSERT_MESSAGE(difference, group_->HasConverged(&difference));
   }
 
-  bool EachSeesHalf() const {
+  bool EachRegionSeesOnlyItself() const {
     for (std::size_t member = 0; member < kMembers; ++member) {
       if (group_->Life(member).Core().LiveCount() != kMembers / 2) {
         return false;
--- a/proofs/membership/src/membership_proof.cpp
+++ b/proofs/membership/src/membership_proof.cpp
@@ -1,6 +1,7 @@
-// Stateful fuzzing of the membership core. Rules at every moment: knowledge never gets older. After
-// the faults end: every view becomes the truth. Refutation and the order of incarnations are each
-// taken away in turn; the rules must then be seen broken.
+// Stateful fuzzing of the membership core. At every moment, no view may go back to an older record.
+// After the faults end, every view must become correct. Protections such as refutation and the
+// order of incarnations are then disabled one at a time, and the oracle must report the violation
+// of the corresponding rule.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -22,27 +23,36 @@
   kFreeze,
   kThaw,
   kLeave,
-  kToggleLeavingMark,
+  kToggleLeavingFlag,
   kIsolate,
   kBlockOneWay,
   kSplitRegions,
   kEndPartitions,
-  kSetNoise,
+  kSetMessageFaults,
 };
 
 std::ostream& operator<<(std::ostream& stream, StepKind kind) {
-  static constexpr const char* kNames[] = {
-      "run",         "kill",    "restart",       "freeze",        "thaw",           "leave",
-      "toggle mark", "isolate", "block one way", "split regions", "end partitions", "noise"};
+  static constexpr const char* kNames[] = {"run",
+                                           "kill",
+                                           "restart",
+                                           "freeze",
+                                           "thaw",
+                                           "leave",
+                                           "toggle leaving flag",
+                                           "isolate",
+                                           "block one way",
+                                           "split regions",
+                                           "end partitions",
+                                           "message faults"};
   return stream << kNames[static_cast<std::size_t>(kind)];
 }
 
-// The oracle is in the world; every step is allowed in every state.
+// The oracle is part of the world; every step is allowed in every state.
 struct Model {};
 
 using MembershipCommand = rc::state::Command<Model, MembershipWorld>;
 
-// One step of the adversary, and some time.
+// One fault or other step, followed by some simulated time.
 class Perform final : public MembershipCommand {
  public:
   Perform()
@@ -52,33 +62,34 @@
                                                    {3, StepKind::kFreeze},
                                                    {3, StepKind::kThaw},
                                                    {1, StepKind::kLeave},
-                                                   {2, StepKind::kToggleLeavingMark},
+                                                   {2, StepKind::kToggleLeavingFlag},
                                                    {2, StepKind::kIsolate},
                                                    {2, StepKind::kBlockOneWay},
                                                    {1, StepKind::kSplitRegions},
                                                    {3, StepKind::kEndPartitions},
-                                                   {2, StepKind::kSetNoise}})),
+                                                   {2, StepKind::kSetMessageFaults}})),
         member_(*rc::gen::inRange<std::size_t>(0, MembershipWorld::kMembers)),
         other_(*rc::gen::inRange<std::size_t>(0, MembershipWorld::kMembers)),
         number_(*rc::gen::inRange(1, kNumbers)) {}
 
   void run(const Model& /*model*/, MembershipWorld& world) const override {  // NOLINT
     if (world.Violation()) {
-      return;  // told at the end of the case
+      return;  // reported at the end of the case
     }
     Do(world);
-    // Short after most steps, so that faults meet; long enough for verdicts after others.
+    // Short after most steps, so that faults overlap; long after kRun steps, so that members can be
+    // declared dead.
     const bool is_long = kind_ == StepKind::kRun;
     world.Run(number_ * (is_long ? std::chrono::milliseconds(100) : std::chrono::milliseconds(5)));
   }
 
-  void show(std::ostream& stream) const override {  // NOLINT: rapidcheck's name
+  void show(std::ostream& stream) const override {  // NOLINT: name required by rapidcheck
     stream << kind_ << " member=" << member_ << " other=" << other_ << " number=" << number_;
   }
 
  private:
   static constexpr int kNumbers = 100;
-  static constexpr double kLargestNoise = 0.3;
+  static constexpr double kMaximumFaultProbability = 0.3;
 
   void Do(MembershipWorld& world) const {
     switch (kind_) {
@@ -94,8 +105,8 @@
         return world.Thaw(member_);
       case StepKind::kLeave:
         return world.Leave(member_);
-      case StepKind::kToggleLeavingMark:
-        return world.ToggleLeavingMark(member_);
+      case StepKind::kToggleLeavingFlag:
+        return world.ToggleLeavingFlag(member_);
       case StepKind::kIsolate:
         return world.Isolate(member_);
       case StepKind::kBlockOneWay:
@@ -104,8 +115,8 @@
         return world.SplitRegions();
       case StepKind::kEndPartitions:
         return world.EndPartitions();
-      case StepKind::kSetNoise:
-        return world.SetNoise(kLargestNoise * number_ / kNumbers);
+      case StepKind::kSetMessageFaults:
+        return world.SetMessageFaults(kMaximumFaultProbability * number_ / kNumbers);
     }
   }
 
@@ -115,7 +126,7 @@
   int number_;
 };
 
-// Runs one generated case and returns the first breach of a rule.
+// Runs one generated case and returns the first violation.
 std::optional<std::string> RunCase(const membership::InjectedFaults& faults,
                                    MembershipTotals& totals) {
   MembershipWorld world(*rc::gen::arbitrary<std::uint64_t>(), faults);
@@ -126,27 +137,28 @@
   totals.deaths_reported += world.Totals().deaths_reported;
   totals.recoveries += world.Totals().recoveries;
   totals.restarts += world.Totals().restarts;
-  totals.told_of_own_death += world.Totals().told_of_own_death;
+  totals.self_death_reports += world.Totals().self_death_reports;
   return world.Violation();
 }
 
-// Fails when the cases don't hold enough of what the proof is about.
+// Fails if too few of the events that the proof is about occurred.
 void ExpectFaultsTookPlace(const MembershipTotals& totals, std::size_t cases) {
   constexpr std::size_t kEnoughCases = 200;
-  constexpr std::size_t kCasesForEachRecovery = 10;
+  constexpr std::size_t kCasesPerRecovery = 10;
   if (cases < kEnoughCases) {
     return;
   }
   RC_ASSERT(totals.deaths_reported > cases);
-  RC_ASSERT(totals.recoveries > cases / kCasesForEachRecovery);
-  RC_ASSERT(totals.restarts > cases / kCasesForEachRecovery);
-  RC_ASSERT(totals.told_of_own_death > cases / kCasesForEachRecovery);
+  RC_ASSERT(totals.recoveries > cases / kCasesPerRecovery);
+  RC_ASSERT(totals.restarts > cases / kCasesPerRecovery);
+  RC_ASSERT(totals.self_death_reports > cases / kCasesPerRecovery);
 }
 
-void ViewsNeverGetOlderAndBecomeTrue() {
+void ViewsNeverRegressAndConverge() {
   static MembershipTotals totals;
   static std::size_t cases = 0;
-  static bool is_shrinking = false;  // the small cases of a failure tell nothing of the totals
+  static bool is_shrinking =
+      false;  // the shrunk cases of a failure do not count towards the totals
   const std::optional<std::string> violation = RunCase({}, totals);
   if (violation) {
     is_shrinking = true;
@@ -157,8 +169,9 @@
   }
 }
 
-// Returns a property that fails by this rule only: other breaches don't show that it is looked at.
-std::function<void()> Breaks(const membership::InjectedFaults& faults, std::string rule) {
+// Returns a property that fails only on a violation of this rule. Other violations would not show
+// that the rule is checked.
+std::function<void()> ViolatesRule(const membership::InjectedFaults& faults, std::string rule) {
   return [faults, rule = std::move(rule)] {
     MembershipTotals totals;
     const std::optional<std::string> violation = RunCase(faults, totals);
@@ -171,22 +184,21 @@
 using testing::ProofKind;
 
 const testing::RegisteredProof views_proof("views_never_get_older_and_become_true",
-                                           ProofKind::kHolds, ViewsNeverGetOlderAndBecomeTrue);
+                                           ProofKind::kHolds, ViewsNeverRegressAndConverge);
 const testing::RegisteredProof no_refutation_proof("without_refutation", ProofKind::kMutantIsCaught,
-                                                   Breaks({.never_refute = true},
-                                                          "views did not become true"));
+                                                   ViolatesRule({.never_refute = true},
+                                                                "views did not converge"));
 const testing::RegisteredProof no_order_proof("without_order_of_incarnations",
                                               ProofKind::kMutantIsCaught,
-                                              Breaks({.accept_older_incarnations = true},
-                                                     "knowledge got older"));
-const testing::RegisteredProof any_base_proof("without_comparing_the_bases_of_groups",
-                                              ProofKind::kMutantIsCaught,
-                                              Breaks({.trust_any_group_base = true},
-                                                     "an incarnation that the member never had"));
-const testing::RegisteredProof no_budget_proof("without_the_budget_of_bytes",
-                                               ProofKind::kMutantIsCaught,
-                                               Breaks({.ignore_byte_budget = true},
-                                                      "more bytes in a second than the budget"));
+                                              ViolatesRule({.accept_older_incarnations = true},
+                                                           "a view went back to an older record"));
+const testing::RegisteredProof any_base_proof(
+    "without_comparing_the_bases_of_groups", ProofKind::kMutantIsCaught,
+    ViolatesRule({.trust_any_group_base = true},
+                 "a view has an incarnation that the member never announced"));
+const testing::RegisteredProof no_budget_proof(
+    "without_the_budget_of_bytes", ProofKind::kMutantIsCaught,
+    ViolatesRule({.ignore_byte_budget = true}, "sent more bytes in one second than the budget"));
 
 }  // namespace
 }  // namespace gaugevalve::proofs
--- a/proofs/membership/src/membership_world.cpp
+++ b/proofs/membership/src/membership_world.cpp
@@ -6,15 +6,15 @@
 namespace gaugevalve::proofs {
 namespace {
 
-// Less than the real budget, as the group is small; without the reserve an offer of digests (1.2
-// KB) must fit.
+// Less than the real budget, because the group is small. Without the reserve, a digest offer (1.2
+// KB) must still fit.
 constexpr std::size_t kBytesPerSecond = 2000;
 constexpr std::size_t kReservedBytesPerSecond = 500;
 constexpr base::Duration kBudgetWindow = std::chrono::seconds(1);
-// Acknowledgements aren't held back.
-constexpr std::size_t kLargestAnswers = 500;
-constexpr base::Duration kLookInterval = std::chrono::milliseconds(50);
-// The views of healed groups must be true after this long.
+// Acknowledgements are exempt from the budget.
+constexpr std::size_t kAcknowledgementBytes = 500;
+constexpr base::Duration kCheckInterval = std::chrono::milliseconds(50);
+// After the faults end, the views must become correct within this time.
 constexpr base::Duration kConvergenceLimit = std::chrono::minutes(2);
 
 simulation::NetworkModel MakeNetwork() {
@@ -32,22 +32,23 @@
   settings.options.bytes_per_second = kBytesPerSecond;
   settings.options.reserved_bytes_per_second = kReservedBytesPerSecond;
   if (seed % 2 == 0) {
-    settings.options.summary_bytes_per_member = 100;  // else a group this small never gets one
+    settings.options.summary_bytes_per_member =
+        100;  // otherwise a group this small never sends a summary
   }
   settings.listener = [this](simulation::NodeIndex, const membership::MembershipEvent& event) {
     OnEvent(event);
   };
   group_ = std::make_unique<membership_simulation::HollowGroup>(simulator_, settings);
-  NoteIssuedIncarnations();
+  UpdateIssuedIncarnations();
 }
 
 void MembershipWorld::Run(base::Duration duration) {
   const base::TimePoint end = simulator_.Now() + duration;
   while (simulator_.Now() < end) {
-    simulator_.RunFor(std::min<base::Duration>(kLookInterval, end - simulator_.Now()));
-    NoteIssuedIncarnations();
-    LookAtViews();
-    LookAtBytes();
+    simulator_.RunFor(std::min<base::Duration>(kCheckInterval, end - simulator_.Now()));
+    UpdateIssuedIncarnations();
+    CheckViews();
+    CheckByteBudget();
   }
 }
 
@@ -68,7 +69,7 @@
   }
 }
 
-void MembershipWorld::ToggleLeavingMark(std::size_t member) {
+void MembershipWorld::ToggleLeavingFlag(std::size_t member) {
   if (!IsRunning(member)) {
     return;
   }
@@ -90,14 +91,14 @@
 
 void MembershipWorld::EndPartitions() { simulator_.Network().HealPartitions(); }
 
-void MembershipWorld::SetNoise(double probability) {
+void MembershipWorld::SetMessageFaults(double probability) {
   simulator_.Network().SetFaults(
       {.loss = probability, .duplication = probability, .reordering = probability});
 }
 
 void MembershipWorld::Heal() {
   EndPartitions();
-  SetNoise(0);
+  SetMessageFaults(0);
   for (std::size_t member = 0; member < kMembers; ++member) {
     Thaw(member);
     const bool is_seed = member < kSeeds;
@@ -111,7 +112,7 @@
   }
   std::string difference;
   if (!violation_ && !group_->HasConverged(&difference)) {
-    violation_ = "views did not become true: " + difference;
+    violation_ = "views did not converge: " + difference;
   }
 }
 
@@ -126,14 +127,14 @@
       ++totals_.recoveries;
       return;
     case membership::EventKind::kSelfDeclaredDead:
-      ++totals_.told_of_own_death;
+      ++totals_.self_death_reports;
       return;
     default:
       return;
   }
 }
 
-void MembershipWorld::NoteIssuedIncarnations() {
+void MembershipWorld::UpdateIssuedIncarnations() {
   for (std::size_t member = 0; member < kMembers; ++member) {
     if (simulator_.State(group_->Index(member)) == simulation::NodeState::kDead) {
       continue;
@@ -143,16 +144,16 @@
   }
 }
 
-void MembershipWorld::LookAtViews() {
+void MembershipWorld::CheckViews() {
   for (std::size_t observer = 0; observer < kMembers; ++observer) {
     if (IsRunning(observer)) {
       group_->Life(observer).Core().ForEach(
-          [&](const membership::Member& seen) { LookAtMember(observer, seen); });
+          [&](const membership::Member& seen) { CheckMember(observer, seen); });
     }
   }
 }
 
-void MembershipWorld::LookAtBytes() {
+void MembershipWorld::CheckByteBudget() {
   for (std::size_t member = 0; member < kMembers; ++member) {
     if (!IsRunning(member)) {
       continue;
@@ -161,7 +162,7 @@
     const membership::Member& self = life.Core().Self();
     BytesSent& sent = sent_[{member, self.metadata->life, self.node}];
     if (!life.Core().IsJoined()) {
-      sent.clear();  // not in service yet
+      sent.clear();  // not joined yet, so the budget does not apply
       continue;
     }
     const std::uint64_t bytes = life.Counters().Of(transport::MessageKind::kMembership).sent_bytes;
@@ -169,38 +170,38 @@
     while (simulator_.Now() - sent.front().first > kBudgetWindow) {
       sent.pop_front();
     }
-    if (bytes - sent.front().second > kBytesPerSecond + kLargestAnswers) {
-      Break("more bytes in a second than the budget", member, self);
+    if (bytes - sent.front().second > kBytesPerSecond + kAcknowledgementBytes) {
+      ReportViolation("sent more bytes in one second than the budget", member, self);
     }
   }
 }
 
-void MembershipWorld::LookAtMember(std::size_t observer, const membership::Member& seen) {
+void MembershipWorld::CheckMember(std::size_t observer, const membership::Member& seen) {
   const base::Incarnation observer_life = group_->Life(observer).Core().Self().metadata->life;
-  const Knowledge now{seen.incarnation, seen.state, seen.metadata->life};
-  const auto [place, is_new] = known_.try_emplace({observer, observer_life, seen.node}, now);
-  const Knowledge before = std::exchange(place->second, now);
+  const ObservedState now{seen.incarnation, seen.state, seen.metadata->life};
+  const auto [place, is_new] = observed_.try_emplace({observer, observer_life, seen.node}, now);
+  const ObservedState before = std::exchange(place->second, now);
   if (!is_new &&
       std::tie(now.incarnation, now.state) < std::tie(before.incarnation, before.state)) {
-    Break("knowledge got older", observer, seen);
+    ReportViolation("a view went back to an older record", observer, seen);
   }
   if (!is_new && now.life < before.life) {
-    Break("a newer life was taken for an older one", observer, seen);
+    ReportViolation("a view went back to an older process", observer, seen);
   }
   if (now.incarnation > issued_[seen.node]) {
-    Break("an incarnation that the member never had", observer, seen);
+    ReportViolation("a view has an incarnation that the member never announced", observer, seen);
   }
 }
 
-void MembershipWorld::Break(const std::string& rule, std::size_t observer,
-                            const membership::Member& seen) {
+void MembershipWorld::ReportViolation(const std::string& rule, std::size_t observer,
+                                      const membership::Member& seen) {
   if (violation_) {
     return;
   }
   std::ostringstream text;
   text << rule << ": member " << observer << " sees node " << seen.node << " "
-       << membership::MemberStateName(seen.state) << " at " << seen.incarnation << ", life "
-       << seen.metadata->life;
+       << membership::MemberStateName(seen.state) << " at " << seen.incarnation
+       << ", process incarnation " << seen.metadata->life;
   violation_ = text.str();
 }
 
