--- a/libs/control/include/gaugevalve/control/agent_reporter.h
+++ b/libs/control/include/gaugevalve/control/agent_reporter.h
@@ -18,7 +18,7 @@
   base::Duration interval = std::chrono::seconds(1);
   base::Duration fast_interval = std::chrono::milliseconds(200);  // when much has changed
   // Change of the open flows, as a share of those last reported, that counts as much.
-  double much_changed_share = 0.2;
+  double significant_change_share = 0.2;
 };
 
 // Decision core. Not thread-safe.
@@ -57,9 +57,9 @@
   };
 
   // Covers routing::kFreshnessLimit at the fast interval: older reports' answers prove nothing.
-  static constexpr std::size_t kRememberedReports = 16;
+  static constexpr std::size_t kRememberedReportCount = 16;
 
-  bool HasChangedMuch() const;
+  bool HasChangedSignificantly() const;
   NumberedReport MakeReport(base::TimePoint now);
 
   AgentReporterOptions options_;
@@ -69,8 +69,8 @@
   std::uint64_t next_sequence_ = 1;
   base::NodeId planner_;
   routing::FlowDigest digest_;
-  bool whole_is_wanted_ = false;                       // by the planner, at the next fast interval
-  std::array<SentReport, kRememberedReports> sent_{};  // a ring
+  bool full_report_requested_ = false;  // by the planner, at the next fast interval
+  std::array<SentReport, kRememberedReportCount> sent_{};  // a ring
   base::TimePoint confirmed_at_{};
 };
 
--- a/libs/control/include/gaugevalve/control/control_node.h
+++ b/libs/control/include/gaugevalve/control/control_node.h
@@ -119,26 +119,26 @@
   std::optional<ElectedPlanner> PlannerOf(base::ServiceId service) const;
 
  private:
-  void TakeMembership(membership::MembershipActions& from, base::TimePoint now,
-                      ControlActions& actions);
-  void TakeMemberEvent(const membership::MembershipEvent& event, base::TimePoint now);
+  void HandleMembershipActions(membership::MembershipActions& from, base::TimePoint now,
+                               ControlActions& actions);
+  void HandleMemberEvent(const membership::MembershipEvent& event, base::TimePoint now);
   void UpsertPeer(const membership::Member& member);
-  void TakeDissemination(dissemination::Actions& from, base::TimePoint now,
-                         ControlActions& actions);
-  void TakeChangedRecord(const dissemination::RecordKey& key, base::TimePoint now,
+  void HandleDisseminationActions(dissemination::Actions& from, base::TimePoint now,
+                                  ControlActions& actions);
+  void HandleChangedRecord(const dissemination::RecordKey& key, base::TimePoint now,
+                           ControlActions& actions);
+  void HandleTableRecord(base::ServiceId service, const std::string& bytes, base::TimePoint now,
                          ControlActions& actions);
-  void TakeTableRecord(base::ServiceId service, const std::string& bytes, base::TimePoint now,
-                       ControlActions& actions);
-  void TakeControlMessage(const transport::Envelope& envelope, base::TimePoint now,
-                          ControlActions& actions);
+  void HandleControlMessage(const transport::Envelope& envelope, base::TimePoint now,
+                            ControlActions& actions);
   void Publish(const dissemination::RecordKey& key, const dissemination::RecordVersion& version,
                std::string value, base::TimePoint now, ControlActions& actions);
   void PublishFromStore(const std::vector<store::KeyValue>& key_values, base::TimePoint now,
                         ControlActions& actions);
-  void Settle(base::TimePoint now, ControlActions& actions);
+  void UpdateDerivedState(base::TimePoint now, ControlActions& actions);
   void AdvanceSettings(ControlActions& actions);
   bool MayGoInService() const;
-  std::uint32_t LeastSettingsSchema() const;
+  std::uint32_t MinSettingsSchema() const;
   void RunCoordinator(base::TimePoint now, ControlActions& actions);
   void RunPlanners(base::TimePoint now, ControlActions& actions);
   void SendReport(base::TimePoint now, ControlActions& actions);
@@ -163,8 +163,8 @@
   std::shared_ptr<const NodeView> view_;
   base::TimePoint started_at_{};
   base::TimePoint next_view_at_{};
-  base::TimePoint next_duty_{};    // coordinator and the like, a few times a second
-  base::TimePoint next_report_{};  // not before; while no planner is known
+  base::TimePoint next_periodic_work_{};  // coordinator and the like, a few times a second
+  base::TimePoint next_report_{};         // not before; while no planner is known
   bool view_stale_ = true;
   bool settings_stale_ = false;
   bool election_stale_ = false;
--- a/libs/control/include/gaugevalve/control/node_view.h
+++ b/libs/control/include/gaugevalve/control/node_view.h
@@ -1,4 +1,4 @@
-// What the control task of a node hands to its data path: an immutable picture, swapped whole.
+// What the control task of a node hands to its data path: an immutable known_counts, swapped whole.
 #pragma once
 
 #include <cstdint>
--- a/libs/control/include/gaugevalve/control/planner_host.h
+++ b/libs/control/include/gaugevalve/control/planner_host.h
@@ -36,7 +36,7 @@
 };
 
 // An answer to a report that came before the planner ran.
-struct LateAnswer {
+struct DeferredAnswer {
   base::NodeId agent;
   base::Incarnation incarnation;
   ReportAnswer answer;
@@ -73,7 +73,7 @@
 
   // Notes that an agent was declared dead, for planners that start soon after. Call before the
   // UpdateAgents() that leaves it out.
-  void NoteFailure(const membership::Member& agent, base::TimePoint now);
+  void RecordFailure(const membership::Member& agent, base::TimePoint now);
 
   // Tells the planner of a service that a newer table than its own has come: another planner's.
   // This one takes over again if it is still elected.
@@ -89,7 +89,7 @@
 
   // Returns, once, the answers to reports that came while the planners started by Tick() collected.
   // Without them agents would wait for an answer until their next report.
-  std::vector<LateAnswer> TakeLateAnswers() { return std::exchange(late_answers_, {}); }
+  std::vector<DeferredAnswer> TakeDeferredAnswers() { return std::exchange(deferred_answers_, {}); }
 
   // Returns when Tick() is next due.
   base::TimePoint NextDeadline() const;
@@ -118,19 +118,20 @@
   void StartPlanning(const settings::ServiceSettings& service, Hosted& hosted,
                      const PlanningContext& context, base::TimePoint now);
   // Gives the report to the running planner; returns the answer where there may be one.
-  static std::optional<ReportAnswer> TakeAndAnswer(routing::ServicePlanner& planner,
-                                                   const routing::AgentReport& report,
-                                                   base::TimePoint now);
+  static std::optional<ReportAnswer> HandleAndAnswer(routing::ServicePlanner& planner,
+                                                     const routing::AgentReport& report,
+                                                     base::TimePoint now);
   // Takes the reports that came while the planner collected; returns their answers.
-  static std::vector<LateAnswer> TakeEarlyReports(Hosted& hosted, base::TimePoint now);
+  static std::vector<DeferredAnswer> HandleEarlyReports(Hosted& hosted, base::TimePoint now);
   base::Duration StepInterval(std::size_t service_count) const;
-  void AppendFailures(const settings::ServiceSettings& service, const MemberDirectory& directory,
-                      base::TimePoint now, std::vector<routing::AgentStatus>& statuses) const;
+  void AppendRecentlyFailed(const settings::ServiceSettings& service,
+                            const MemberDirectory& directory, base::TimePoint now,
+                            std::vector<routing::AgentStatus>& statuses) const;
 
   base::NodeId self_;
   PlannerHostOptions options_;
   std::map<base::ServiceId, Hosted> hosted_;
-  std::vector<LateAnswer> late_answers_;
+  std::vector<DeferredAnswer> deferred_answers_;
   std::deque<Failure> failures_;  // of the last kDeadAgentHold, oldest first; at most one an agent
 };
 
--- a/libs/control/include/gaugevalve/control_simulation/hollow_node.h
+++ b/libs/control/include/gaugevalve/control_simulation/hollow_node.h
@@ -44,14 +44,14 @@
 
  private:
   // How often the shell looks after the store and the agent's report.
-  static constexpr base::Duration kShellInterval = std::chrono::milliseconds(200);
+  static constexpr base::Duration kPeriodicWorkInterval = std::chrono::milliseconds(200);
   static constexpr base::Duration kLeaseTtl = std::chrono::seconds(5);
 
   void Measure(const std::function<void()>& work);
-  void DoTimer(simulation::TimerToken token);
+  void HandleTimer(simulation::TimerToken token);
   void Perform(control::ControlActions& actions);
   void RunTransaction(const settings::StoreTransaction& transaction);
-  void RunShell();
+  void RunPeriodicWork();
   void UseStore(control::ControlActions& actions);
   void UpdateReport(control::ControlActions& actions);
   void ArmTimer();
@@ -64,7 +64,7 @@
   base::Revision store_revision_;  // read so far
   bool holds_lease_ = false;
   base::TimePoint lease_valid_until_{};
-  base::TimePoint next_shell_run_{};
+  base::TimePoint next_periodic_work_{};
   simulation::TimerToken armed_token_ = 0;
   base::TimePoint armed_at_ = base::TimePoint::max();
   std::vector<base::Revision> activations_;
--- a/libs/control/src/agent_reporter.cpp
+++ b/libs/control/src/agent_reporter.cpp
@@ -11,7 +11,7 @@
   }
   reported_ = latest_;
   reported_at_ = now;
-  whole_is_wanted_ = false;
+  full_report_requested_ = false;
   return MakeReport(now);
 }
 
@@ -28,7 +28,7 @@
   if (planner != planner_) {
     planner_ = planner;
     digest_.Reset();
-    whole_is_wanted_ = true;  // it can't answer for a table before it has heard of the agents
+    full_report_requested_ = true;  // it can't answer for a table before it has heard of the agents
   }
 }
 
@@ -39,21 +39,21 @@
   if (!reported_.has_value()) {
     return reported_at_;
   }
-  return reported_at_ + (HasChangedMuch() ? options_.fast_interval : options_.interval);
+  return reported_at_ + (HasChangedSignificantly() ? options_.fast_interval : options_.interval);
 }
 
-bool AgentReporter::HasChangedMuch() const {
+bool AgentReporter::HasChangedSignificantly() const {
   const bool other_state = latest_->state != reported_->state ||
                            latest_->table_version != reported_->table_version ||
                            latest_->incarnation != reported_->incarnation;
   const double before = std::max(1.0, static_cast<double>(reported_->open_flows));
   const double change = std::abs(static_cast<double>(latest_->open_flows) - before) / before;
-  return other_state || whole_is_wanted_ || change > options_.much_changed_share;
+  return other_state || full_report_requested_ || change > options_.significant_change_share;
 }
 
 void AgentReporter::TakeAnswer(const ReportAnswer& answer, const routing::TableVersion& own_table) {
   digest_.TakeAnswer(answer.sequence, answer.flows);
-  whole_is_wanted_ = answer.flows == routing::FlowsOutcome::kNeedsWhole;
+  full_report_requested_ = answer.flows == routing::FlowsOutcome::kNeedsWhole;
   SentReport& sent = sent_[answer.sequence % sent_.size()];
   if (sent.sequence != answer.sequence) {
     return;
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // How often the coordinator's and the planners' state is looked at besides events.
-constexpr base::Duration kDutyInterval = std::chrono::milliseconds(200);
+constexpr base::Duration kPeriodicWorkInterval = std::chrono::milliseconds(200);
 
 dissemination::DisseminationOptions DisseminationOptionsOf(const ControlNodeOptions& options) {
   dissemination::DisseminationOptions result = options.dissemination;
@@ -74,8 +74,8 @@
   membership::MembershipActions from;
   membership_.Start(now, from);
   directory_.Upsert(membership_.Self());
-  TakeMembership(from, now, actions);
-  Settle(now, actions);
+  HandleMembershipActions(from, now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 void ControlNode::Preload(std::span<const membership::Member> members) {
@@ -91,53 +91,53 @@
   if (envelope.kind == transport::MessageKind::kMembership) {
     membership::MembershipActions from;
     membership_.OnMessage(envelope.sender, envelope.payload, now, from);
-    TakeMembership(from, now, actions);
+    HandleMembershipActions(from, now, actions);
   } else if (envelope.kind == transport::MessageKind::kDissemination) {
     dissemination::Actions from;
     dissemination_.Receive(envelope.sender.node, envelope.payload, now, from);
-    TakeDissemination(from, now, actions);
+    HandleDisseminationActions(from, now, actions);
   } else if (envelope.kind == transport::MessageKind::kControl) {
-    TakeControlMessage(envelope, now, actions);
+    HandleControlMessage(envelope, now, actions);
   }
-  Settle(now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 void ControlNode::OnTick(base::TimePoint now, ControlActions& actions) {
   if (now >= membership_.NextWakeUp()) {
     membership::MembershipActions from;
     membership_.OnTick(now, from);
-    TakeMembership(from, now, actions);
+    HandleMembershipActions(from, now, actions);
   }
   if (now >= dissemination_.NextDeadline()) {
     dissemination::Actions from;
     dissemination_.Tick(now, from);
-    TakeDissemination(from, now, actions);
+    HandleDisseminationActions(from, now, actions);
   }
-  Settle(now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 base::TimePoint ControlNode::NextWakeUp() const {
   base::TimePoint next = std::min(membership_.NextWakeUp(), dissemination_.NextDeadline());
-  next = std::min(next, IsBalancer() ? std::min(next_duty_, planners_.NextDeadline())
+  next = std::min(next, IsBalancer() ? std::min(next_periodic_work_, planners_.NextDeadline())
                                      : std::max(next_report_, reporter_.NextDeadline()));
   return view_stale_ ? std::min(next, next_view_at_) : next;
 }
 
 // --- Members -------------------------------------------------------------------------------------
 
-void ControlNode::TakeMembership(membership::MembershipActions& from, base::TimePoint now,
-                                 ControlActions& actions) {
+void ControlNode::HandleMembershipActions(membership::MembershipActions& from, base::TimePoint now,
+                                          ControlActions& actions) {
   for (membership::OutgoingMessage& message : from.messages) {
     actions.envelopes.push_back(
         {message.destination, transport::MessageKind::kMembership, std::move(message.payload)});
   }
   for (membership::MembershipEvent& event : from.events) {
-    TakeMemberEvent(event, now);
+    HandleMemberEvent(event, now);
     actions.member_events.push_back(std::move(event));
   }
 }
 
-void ControlNode::TakeMemberEvent(const membership::MembershipEvent& event, base::TimePoint now) {
+void ControlNode::HandleMemberEvent(const membership::MembershipEvent& event, base::TimePoint now) {
   const base::NodeId node = event.member.node;
   const DirectoryChange change = directory_.Apply(event);
   if (change == DirectoryChange::kNone) {
@@ -157,9 +157,9 @@
   if (event.kind == membership::EventKind::kLeft) {
     planners_.NoteFarewell(event.member.metadata->service, node, event.member.metadata->life);
   } else if (event.kind == membership::EventKind::kFailed) {
-    planners_.NoteFailure(event.member, now);
+    planners_.RecordFailure(event.member, now);
   }
-  next_duty_ = now;
+  next_periodic_work_ = now;
 }
 
 void ControlNode::UpsertPeer(const membership::Member& member) {
@@ -175,20 +175,20 @@
   membership_.UpdateMetadata(metadata, now, from);
   directory_.Upsert(membership_.Self());
   election_stale_ = true;
-  TakeMembership(from, now, actions);
-  Settle(now, actions);
+  HandleMembershipActions(from, now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 void ControlNode::Leave(base::TimePoint now, ControlActions& actions) {
   membership::MembershipActions from;
   membership_.Leave(now, from);
-  TakeMembership(from, now, actions);
+  HandleMembershipActions(from, now, actions);
 }
 
 // --- Records -------------------------------------------------------------------------------------
 
-void ControlNode::TakeDissemination(dissemination::Actions& from, base::TimePoint now,
-                                    ControlActions& actions) {
+void ControlNode::HandleDisseminationActions(dissemination::Actions& from, base::TimePoint now,
+                                             ControlActions& actions) {
   for (dissemination::OutgoingMessage& message : from.messages) {
     const membership::Member* member = directory_.Find(message.to);
     if (member != nullptr) {
@@ -198,13 +198,13 @@
     }
   }
   for (const dissemination::RecordKey& key : from.changed) {
-    TakeChangedRecord(key, now, actions);
+    HandleChangedRecord(key, now, actions);
   }
   view_stale_ = view_stale_ || view_ == nullptr || ConfirmedAt() > view_->confirmed_at;
 }
 
-void ControlNode::TakeChangedRecord(const dissemination::RecordKey& key, base::TimePoint now,
-                                    ControlActions& actions) {
+void ControlNode::HandleChangedRecord(const dissemination::RecordKey& key, base::TimePoint now,
+                                      ControlActions& actions) {
   const std::string& bytes = *dissemination_.Records().Find(key)->value;
   switch (KindOf(key)) {
     case RecordKind::kSettingsRoot:
@@ -224,13 +224,13 @@
       break;
     }
     case RecordKind::kTable:
-      TakeTableRecord(base::ServiceId(key.scope), bytes, now, actions);
+      HandleTableRecord(base::ServiceId(key.scope), bytes, now, actions);
       break;
   }
 }
 
-void ControlNode::TakeTableRecord(base::ServiceId service, const std::string& bytes,
-                                  base::TimePoint now, ControlActions& actions) {
+void ControlNode::HandleTableRecord(base::ServiceId service, const std::string& bytes,
+                                    base::TimePoint now, ControlActions& actions) {
   try {
     auto table = std::make_shared<const routing::BucketTable>(routing::DecodeTable(bytes));
     planners_.OnForeignTable(service, table->version, now);
@@ -249,7 +249,7 @@
                           base::TimePoint now, ControlActions& actions) {
   dissemination::Actions from;
   dissemination_.Publish(key, version, std::move(value), now, from);
-  TakeDissemination(from, now, actions);
+  HandleDisseminationActions(from, now, actions);
 }
 
 // --- The store -----------------------------------------------------------------------------------
@@ -297,20 +297,20 @@
   for (PublishedRecord& record : read.records) {
     Publish(record.key, record.version, std::move(record.value), now, actions);
   }
-  Settle(now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 void ControlNode::OnLeaseHeld(std::uint64_t epoch, base::TimePoint now, ControlActions& actions) {
   coordinator_.OnLeaseHeld(epoch, now);
   capabilities_.OnLeaseHeld(
       {std::string(settings::kCoordinatorLeaseKey), settings::ModRevision(epoch)});
-  Settle(now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 void ControlNode::OnLeaseLost(base::TimePoint now, ControlActions& actions) {
   coordinator_.OnLeaseLost();
   capabilities_.OnLeaseLost();
-  Settle(now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 void ControlNode::OnStoreAnswer(const settings::StoreTransactionAnswer& answer, base::TimePoint now,
@@ -321,8 +321,8 @@
     actions.events.push_back(
         {ControlEventKind::kStoreUnreadable, 0, base::FormatFindings(error.findings())});
   }
-  next_duty_ = now;
-  Settle(now, actions);
+  next_periodic_work_ = now;
+  UpdateDerivedState(now, actions);
 }
 
 // --- Reports -------------------------------------------------------------------------------------
@@ -330,14 +330,14 @@
 void ControlNode::UpdateReport(const routing::AgentReport& report, base::TimePoint now,
                                ControlActions& actions) {
   reporter_.Update(report);
-  Settle(now, actions);
+  UpdateDerivedState(now, actions);
 }
 
 void ControlNode::SendReport(base::TimePoint now, ControlActions& actions) {
   const std::optional<ElectedPlanner> planner = PlannerOf(options_.metadata.service);
   const membership::Member* member = planner.has_value() ? directory_.Find(planner->node) : nullptr;
   if (member == nullptr) {
-    next_report_ = now + kDutyInterval;
+    next_report_ = now + kPeriodicWorkInterval;
     return;
   }
   reporter_.SetPlanner(planner->node);
@@ -348,8 +348,8 @@
   }
 }
 
-void ControlNode::TakeControlMessage(const transport::Envelope& envelope, base::TimePoint now,
-                                     ControlActions& actions) {
+void ControlNode::HandleControlMessage(const transport::Envelope& envelope, base::TimePoint now,
+                                       ControlActions& actions) {
   const ControlMessage message = DecodeControlMessage(envelope.payload);
   if (const auto* report = std::get_if<NumberedReport>(&message)) {
     const std::optional<ReportAnswer> answer = planners_.TakeReport(*report, now);
@@ -368,7 +368,7 @@
     if (missing) {
       dissemination::Actions from;
       dissemination_.CompareWith(envelope.sender.node, now, from);
-      TakeDissemination(from, now, actions);
+      HandleDisseminationActions(from, now, actions);
     }
   }
 }
@@ -376,7 +376,7 @@
 // --- What follows from all of it -----------------------------------------------------------------
 
 // Brings everything that depends on members, records and time up to date.
-void ControlNode::Settle(base::TimePoint now, ControlActions& actions) {
+void ControlNode::UpdateDerivedState(base::TimePoint now, ControlActions& actions) {
   if (std::exchange(settings_stale_, false)) {
     AdvanceSettings(actions);
   }
@@ -424,7 +424,7 @@
          options_.metadata.settings_schema >= roster_.settings_schema;
 }
 
-std::uint32_t ControlNode::LeastSettingsSchema() const {
+std::uint32_t ControlNode::MinSettingsSchema() const {
   std::uint32_t least = options_.metadata.settings_schema;
   for (const base::NodeId node : directory_.Balancers()) {
     least = std::min(least, directory_.Find(node)->metadata->settings_schema);
@@ -433,12 +433,12 @@
 }
 
 void ControlNode::RunCoordinator(base::TimePoint now, ControlActions& actions) {
-  if (now < next_duty_) {
+  if (now < next_periodic_work_) {
     return;
   }
-  next_duty_ = now + kDutyInterval;
+  next_periodic_work_ = now + kPeriodicWorkInterval;
   if (coordinator_.IsSettled(now)) {
-    std::optional<settings::StoreTransaction> due = capabilities_.Tick(LeastSettingsSchema(), now);
+    std::optional<settings::StoreTransaction> due = capabilities_.Tick(MinSettingsSchema(), now);
     if (due.has_value()) {
       actions.store_transaction = std::move(due);
     }
@@ -475,7 +475,7 @@
     Publish(KeyOf(RecordKind::kTable, table.service), VersionOf(table.version),
             routing::EncodeTable(table), now, actions);
   }
-  for (const LateAnswer& late : planners_.TakeLateAnswers()) {
+  for (const DeferredAnswer& late : planners_.TakeDeferredAnswers()) {
     const membership::Member* agent = directory_.Find(late.agent);
     if (agent != nullptr) {
       actions.envelopes.push_back({agent->metadata->control_address,
--- a/libs/control/src/planner_host.cpp
+++ b/libs/control/src/planner_host.cpp
@@ -7,9 +7,9 @@
 namespace gaugevalve::control {
 namespace {
 
-constexpr base::Duration kShortestStep = std::chrono::seconds(1);
+constexpr base::Duration kMinStepInterval = std::chrono::seconds(1);
 // The settings' weight of an ordinary endpoint.
-constexpr double kOrdinaryWeight = 100.0;
+constexpr double kDefaultEndpointWeight = 100.0;
 
 const settings::ServiceSettings* FindService(const settings::EffectiveSettings& settings,
                                              base::ServiceId service) {
@@ -33,7 +33,7 @@
     status.standing = routing::AgentStanding::kLeaving;
   }
   if (endpoint != nullptr) {
-    status.weight = endpoint->weight / kOrdinaryWeight;
+    status.weight = endpoint->weight / kDefaultEndpointWeight;
     status.flow_capacity = endpoint->connections;
   }
   return status;
@@ -120,16 +120,16 @@
   }
 }
 
-void PlannerHost::NoteFailure(const membership::Member& agent, base::TimePoint now) {
+void PlannerHost::RecordFailure(const membership::Member& agent, base::TimePoint now) {
   std::erase_if(failures_, [&](const Failure& failure) {
     return failure.agent.node == agent.node || failure.at + routing::kDeadAgentHold <= now;
   });
   failures_.push_back({agent, now});
 }
 
-void PlannerHost::AppendFailures(const settings::ServiceSettings& service,
-                                 const MemberDirectory& directory, base::TimePoint now,
-                                 std::vector<routing::AgentStatus>& statuses) const {
+void PlannerHost::AppendRecentlyFailed(const settings::ServiceSettings& service,
+                                       const MemberDirectory& directory, base::TimePoint now,
+                                       std::vector<routing::AgentStatus>& statuses) const {
   for (const Failure& failure : failures_) {
     const bool is_recent = now < failure.at + routing::kDeadAgentHold;
     const bool is_ours = failure.agent.metadata->service == service.id;
@@ -165,12 +165,12 @@
     }
     return std::nullopt;  // it knows no table yet that it could vouch for
   }
-  return TakeAndAnswer(*hosted.planner, numbered.report, now);
+  return HandleAndAnswer(*hosted.planner, numbered.report, now);
 }
 
-std::optional<ReportAnswer> PlannerHost::TakeAndAnswer(routing::ServicePlanner& planner,
-                                                       const routing::AgentReport& report,
-                                                       base::TimePoint now) {
+std::optional<ReportAnswer> PlannerHost::HandleAndAnswer(routing::ServicePlanner& planner,
+                                                         const routing::AgentReport& report,
+                                                         base::TimePoint now) {
   const routing::ReportOutcome outcome = planner.TakeReport(report, now);
   if (!routing::ServicePlanner::MayAnswer(outcome)) {
     return std::nullopt;
@@ -194,16 +194,16 @@
     if (hosted.planner == nullptr) {
       StartPlanning(*settings, hosted, context, now);
     }
-    std::vector<LateAnswer> late = TakeEarlyReports(hosted, now);
+    std::vector<DeferredAnswer> late = HandleEarlyReports(hosted, now);
     if (hosted.planner->Step(now).has_value()) {
       changed.push_back(hosted.planner->Table());
     }
-    for (LateAnswer& answer : late) {
+    for (DeferredAnswer& answer : late) {
       // The table just published may be the first that lists it.
       answer.answer.table_version = hosted.planner->ListedSince(answer.agent, answer.incarnation);
-      late_answers_.push_back(answer);
+      deferred_answers_.push_back(answer);
     }
-    const base::TimePoint regular = now + kShortestStep;
+    const base::TimePoint regular = now + kMinStepInterval;
     hosted.next_step = std::min(regular, hosted.planner->NextRelease().value_or(regular));
   }
   return changed;
@@ -227,14 +227,14 @@
     hosted.planner->TakeOver(std::move(*newest));
   }
   std::vector<routing::AgentStatus> statuses = StatusesOf(service, context.directory);
-  AppendFailures(service, context.directory, now, statuses);
+  AppendRecentlyFailed(service, context.directory, now, statuses);
   hosted.planner->SetAgents(std::move(statuses), now);
 }
 
-std::vector<LateAnswer> PlannerHost::TakeEarlyReports(Hosted& hosted, base::TimePoint now) {
-  std::vector<LateAnswer> answers;
+std::vector<DeferredAnswer> PlannerHost::HandleEarlyReports(Hosted& hosted, base::TimePoint now) {
+  std::vector<DeferredAnswer> answers;
   for (const auto& [node, report] : std::exchange(hosted.early_reports, {})) {
-    const std::optional<ReportAnswer> answer = TakeAndAnswer(*hosted.planner, report, now);
+    const std::optional<ReportAnswer> answer = HandleAndAnswer(*hosted.planner, report, now);
     if (answer.has_value()) {
       answers.push_back({node, report.incarnation, *answer});
     }
@@ -246,7 +246,7 @@
   const double seconds = static_cast<double>(service_count) / options_.table_changes_per_second;
   const auto fair_share =
       std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(seconds));
-  return std::max(kShortestStep, fair_share);
+  return std::max(kMinStepInterval, fair_share);
 }
 
 base::TimePoint PlannerHost::NextDeadline() const {
--- a/libs/control/src/settings_activator.cpp
+++ b/libs/control/src/settings_activator.cpp
@@ -23,7 +23,7 @@
   return settings::AssembleTree(root, {});
 }
 
-void ThrowFindings(base::Findings findings) {
+void ThrowIfAnyFindings(base::Findings findings) {
   if (!findings.empty()) {
     throw base::FindingsError(std::move(findings));
   }
@@ -102,7 +102,7 @@
   for (const auto& [service, subtree] : subtrees_) {
     tree.root.children.emplace(service, subtree.branch);
   }
-  ThrowFindings(settings::CheckTree(tree));
+  ThrowIfAnyFindings(settings::CheckTree(tree));
   active_.settings = std::make_shared<const settings::EffectiveSettings>(settings::Resolve(tree));
   active_.revision = root_.revision;
 }
@@ -128,7 +128,7 @@
     root.root_settings = *defaults->value;
     settings::SettingsTree tree = RootOnly(root);
     tree.root.children.emplace(document->service, settings::ParseSubtreeDocument(*document));
-    ThrowFindings(settings::CheckTree(tree));
+    ThrowIfAnyFindings(settings::CheckTree(tree));
     const settings::EffectiveSettings effective = settings::Resolve(tree);
     settings_ = std::make_shared<const settings::ServiceSettings>(effective.services.at(0));
     findings_.clear();
--- a/libs/control/src/simulation/hollow_deployment.cpp
+++ b/libs/control/src/simulation/hollow_deployment.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint16_t kControlPort = 7000;
 constexpr std::uint16_t kDataPort = 7001;
 constexpr std::uint16_t kServicePort = 443;
-constexpr std::uint32_t kOrdinaryWeight = 100;
+constexpr std::uint32_t kDefaultEndpointWeight = 100;
 
 std::string EndpointName(std::size_t service, std::size_t agent) {
   return HollowDeployment::ServiceName(service) + "-" + std::to_string(agent);
@@ -27,7 +27,7 @@
                                    HollowDeploymentSettings settings)
     : simulator_(simulator),
       settings_(std::move(settings)),
-      weights_(settings_.services, kOrdinaryWeight) {
+      weights_(settings_.services, kDefaultEndpointWeight) {
   store_.Commit(MakeTree());
   const std::size_t nodes = settings_.balancers + settings_.services * settings_.agents_per_service;
   for (std::size_t node = 0; node < nodes; ++node) {
--- a/libs/control/src/simulation/hollow_node.cpp
+++ b/libs/control/src/simulation/hollow_node.cpp
@@ -39,7 +39,7 @@
   }
   control::ControlActions actions;
   core_->Start(context.Now(), actions);
-  next_shell_run_ = context.Now() + context.Random().NextJitter(kShellInterval);
+  next_periodic_work_ = context.Now() + context.Random().NextJitter(kPeriodicWorkInterval);
   Perform(actions);
 }
 
@@ -58,10 +58,10 @@
 }
 
 void HollowNode::OnTimer(simulation::TimerToken token) {
-  Measure([&] { DoTimer(token); });
+  Measure([&] { HandleTimer(token); });
 }
 
-void HollowNode::DoTimer(simulation::TimerToken token) {
+void HollowNode::HandleTimer(simulation::TimerToken token) {
   if (token != armed_token_) {
     return;
   }
@@ -69,8 +69,8 @@
   control::ControlActions actions;
   core_->OnTick(context_->Now(), actions);
   Perform(actions);
-  if (context_->Now() >= next_shell_run_) {
-    RunShell();
+  if (context_->Now() >= next_periodic_work_) {
+    RunPeriodicWork();
   }
 }
 
@@ -100,8 +100,8 @@
   Perform(actions);
 }
 
-void HollowNode::RunShell() {
-  next_shell_run_ = context_->Now() + kShellInterval;
+void HollowNode::RunPeriodicWork() {
+  next_periodic_work_ = context_->Now() + kPeriodicWorkInterval;
   control::ControlActions actions;
   if (core_->IsBalancer()) {
     UseStore(actions);
@@ -152,7 +152,7 @@
 
 void HollowNode::ArmTimer() {
   const base::TimePoint now = context_->Now();
-  const base::TimePoint due = std::max(now, std::min(core_->NextWakeUp(), next_shell_run_));
+  const base::TimePoint due = std::max(now, std::min(core_->NextWakeUp(), next_periodic_work_));
   if (due < armed_at_) {
     armed_at_ = due;
     context_->SetTimer(due - now, ++armed_token_);
--- a/libs/control/tests/agent_reporter_test.cpp
+++ b/libs/control/tests/agent_reporter_test.cpp
@@ -8,11 +8,11 @@
 class AgentReporterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AgentReporterTest);
   CPPUNIT_TEST(ReportsAtABoundedRate);
-  CPPUNIT_TEST(OnlyAnAnswerForAsNewATableConfirms);
-  CPPUNIT_TEST(AnAnswerThatOvertookItsTableConfirmsWhenTheTableComes);
-  CPPUNIT_TEST(ATableThatChangesWithEachReportStaysConfirmed);
-  CPPUNIT_TEST(AnotherPlannerAndOneThatAsksGetWholeReports);
-  CPPUNIT_TEST(MessagesReadBack);
+  CPPUNIT_TEST(AnswerConfirmsOnlyAnUpToDateTable);
+  CPPUNIT_TEST(EarlyAnswerConfirmsOnceItsTableArrives);
+  CPPUNIT_TEST(TableThatChangesWithEachReportStaysConfirmed);
+  CPPUNIT_TEST(NewPlannerAndRequestGetFullReports);
+  CPPUNIT_TEST(MessagesRoundTrip);
   CPPUNIT_TEST_SUITE_END();
 
   static base::TimePoint At(int milliseconds) {
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT(reporter.Tick(At(10'210)).has_value());
   }
 
-  void OnlyAnAnswerForAsNewATableConfirms() {
+  void AnswerConfirmsOnlyAnUpToDateTable() {
     AgentReporter reporter({});
     reporter.Update({});
     const std::uint64_t first = reporter.Tick(At(1000))->sequence;
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));  // when it was sent, not when answered
   }
 
-  void AnAnswerThatOvertookItsTableConfirmsWhenTheTableComes() {
+  void EarlyAnswerConfirmsOnceItsTableArrives() {
     AgentReporter reporter({});
     reporter.Update({});
     const std::uint64_t first = reporter.Tick(At(1000))->sequence;
@@ -63,7 +63,7 @@
   }
 
   // The planner's table is always one step ahead of the agent's, as while many endpoints drain.
-  void ATableThatChangesWithEachReportStaysConfirmed() {
+  void TableThatChangesWithEachReportStaysConfirmed() {
     constexpr int kIntervalMilliseconds = 200;
     AgentReporter reporter({});
     routing::AgentReport report;
@@ -80,7 +80,7 @@
     }
   }
 
-  void AnotherPlannerAndOneThatAsksGetWholeReports() {
+  void NewPlannerAndRequestGetFullReports() {
     AgentReporter reporter({});
     routing::AgentReport report;
     report.flows_in_buckets = {30, 0};
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT(fifth->report.flows_in_buckets == report.flows_in_buckets);
   }
 
-  void MessagesReadBack() {
+  void MessagesRoundTrip() {
     NumberedReport report;
     report.sequence = 9;
     report.report.service = base::ServiceId(4);
--- a/libs/control/tests/control_node_test.cpp
+++ b/libs/control/tests/control_node_test.cpp
@@ -61,8 +61,8 @@
   CPPUNIT_TEST(AgentsGetTheirServiceAndConfirmation);
   CPPUNIT_TEST(DeadAgentLosesItsBuckets);
   CPPUNIT_TEST(AnotherPlannerTakesOver);
-  CPPUNIT_TEST(AgentsAreConfirmedSoonAfterTheirPlannersDeath);
-  CPPUNIT_TEST(JoinsWhileTheStoreIsAway);
+  CPPUNIT_TEST(AgentsAreConfirmedWithinTheFreshnessLimitAfterPlannerDeath);
+  CPPUNIT_TEST(JoinsDuringStoreOutage);
   CPPUNIT_TEST(RegionsSplitAndHeal);
   CPPUNIT_TEST(OlderReleaseIsCountedBeforeItIsInService);
   CPPUNIT_TEST_SUITE_END();
@@ -168,7 +168,7 @@
 
   // How long agents of a service go without a confirmation when their planner is killed, at worst
   // over several deployments. They open no flow once it is older than routing::kFreshnessLimit.
-  void AgentsAreConfirmedSoonAfterTheirPlannersDeath() {
+  void AgentsAreConfirmedWithinTheFreshnessLimitAfterPlannerDeath() {
     constexpr std::uint64_t kDeployments = 10;
     constexpr auto kStep = std::chrono::milliseconds(50);
     constexpr auto kObserved = std::chrono::seconds(10);
@@ -211,7 +211,7 @@
     return longest;
   }
 
-  void JoinsWhileTheStoreIsAway() {
+  void JoinsDuringStoreOutage() {
     Deployment deployment(6);
     CPPUNIT_ASSERT(deployment.RunUntilOneTable());
     const base::Revision revision = deployment.nodes.Edit(0, 7);
--- a/libs/control/tests/coordinator_test.cpp
+++ b/libs/control/tests/coordinator_test.cpp
@@ -17,14 +17,14 @@
   CPPUNIT_TEST_SUITE(CoordinatorTest);
   CPPUNIT_TEST(PublishesOnlyWithTheLease);
   CPPUNIT_TEST(SpreadsOverZones);
-  CPPUNIT_TEST(ReplacesDeadMemberAfterAWhile);
+  CPPUNIT_TEST(ReplacesDeadMemberAfterDelay);
   CPPUNIT_TEST(RestartedMemberGetsANewSlot);
   CPPUNIT_TEST(NewEpochKeepsTheMembers);
   CPPUNIT_TEST(ResignsWhenANewerEpochIsKnown);
-  CPPUNIT_TEST(PublishesWhatBalancersMustUnderstand);
+  CPPUNIT_TEST(PublishesRequiredSettingsSchema);
   CPPUNIT_TEST(ElectionFallsBackToAllBalancers);
   CPPUNIT_TEST(GenerationsOfTwoPlannersDiffer);
-  CPPUNIT_TEST(RosterReadsBack);
+  CPPUNIT_TEST(RosterRoundTrips);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, slots.size());
   }
 
-  void ReplacesDeadMemberAfterAWhile() {
+  void ReplacesDeadMemberAfterDelay() {
     Coordinator coordinator(FiveMembers());
     coordinator.OnLeaseHeld(kEpoch, now_);
     const Roster first = Publish(coordinator, {});
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(coordinator.MustResign());
   }
 
-  void PublishesWhatBalancersMustUnderstand() {
+  void PublishesRequiredSettingsSchema() {
     Coordinator first(FiveMembers());
     first.OnLeaseHeld(kEpoch, now_);
     schema_ = 3;
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT(in_new_epoch > newest);
   }
 
-  void RosterReadsBack() {
+  void RosterRoundTrips() {
     Roster roster{kEpoch, 3, {{base::NodeId(5), base::Incarnation(6), 7}}, 2};
     CPPUNIT_ASSERT(DecodeRoster(EncodeRoster(roster)) == roster);
     CPPUNIT_ASSERT(!DecodeRoster("\xff\xff").has_value());
--- a/libs/control/tests/readiness_test.cpp
+++ b/libs/control/tests/readiness_test.cpp
@@ -42,14 +42,14 @@
 
 class ReadinessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReadinessTest);
-  CPPUNIT_TEST(ABalancerIsReadyOnceItHasSettingsAndTables);
-  CPPUNIT_TEST(AnAgentIsReadyOnceItsTableIsConfirmed);
-  CPPUNIT_TEST(AServiceWithoutAgentsHoldsNobodyUp);
-  CPPUNIT_TEST(AReadyNodeStaysSo);
-  CPPUNIT_TEST(ARestartedBalancerComparesItsRecordsFirst);
+  CPPUNIT_TEST(BalancerIsReadyOnceItHasSettingsAndTables);
+  CPPUNIT_TEST(AgentIsReadyOnceItsTableIsConfirmed);
+  CPPUNIT_TEST(ServiceWithoutAgentsDoesNotBlockReadiness);
+  CPPUNIT_TEST(ReadyNodeStaysReady);
+  CPPUNIT_TEST(RestartedBalancerComparesRecordsFirst);
   CPPUNIT_TEST_SUITE_END();
 
-  void ABalancerIsReadyOnceItHasSettingsAndTables() {
+  void BalancerIsReadyOnceItHasSettingsAndTables() {
     Deployment deployment;
     Readiness readiness;
     const std::vector<std::string> missing = readiness.Missing(deployment.Core(0));
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(view.confirmed_at != base::TimePoint{});
   }
 
-  void AnAgentIsReadyOnceItsTableIsConfirmed() {
+  void AgentIsReadyOnceItsTableIsConfirmed() {
     Deployment deployment;
     const std::size_t agent = deployment.nodes.BalancerCount();
     Readiness readiness;
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT(view.confirmed_at != base::TimePoint{});
   }
 
-  void AServiceWithoutAgentsHoldsNobodyUp() {
+  void ServiceWithoutAgentsDoesNotBlockReadiness() {
     Deployment deployment;
     const std::size_t agent = deployment.nodes.BalancerCount();
     const base::ServiceId service = deployment.Core(agent).Options().metadata.service;
@@ -85,7 +85,7 @@
   }
 
   // The verdict is of one life: the next one starts with a Readiness of its own.
-  void AReadyNodeStaysSo() {
+  void ReadyNodeStaysReady() {
     Deployment deployment;
     Readiness readiness;
     CPPUNIT_ASSERT(deployment.RunUntilReady(0, readiness));
@@ -95,7 +95,7 @@
   }
 
   // With settings and tables at hand it can't tell yet whether a peer has newer ones.
-  void ARestartedBalancerComparesItsRecordsFirst() {
+  void RestartedBalancerComparesRecordsFirst() {
     Deployment deployment;
     Readiness first_life;
     CPPUNIT_ASSERT(deployment.RunUntilReady(0, first_life));
--- a/libs/control/tests/settings_activator_test.cpp
+++ b/libs/control/tests/settings_activator_test.cpp
@@ -33,10 +33,10 @@
 
 class SettingsActivatorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SettingsActivatorTest);
-  CPPUNIT_TEST(ActivatesOnlyWhenWhole);
-  CPPUNIT_TEST(PartOfALaterRevisionHoldsTheOlderBack);
-  CPPUNIT_TEST(OnlyWhatChangedIsPublished);
-  CPPUNIT_TEST(MalformedRootIsRefusedAndTheOldStays);
+  CPPUNIT_TEST(ActivatesOnlyWhenComplete);
+  CPPUNIT_TEST(PartOfLaterRevisionBlocksTheOlder);
+  CPPUNIT_TEST(PublishesOnlyChangedRecords);
+  CPPUNIT_TEST(MalformedRootKeepsTheActiveSettings);
   CPPUNIT_TEST(RevisionOfANewerSchemaIsRefused);
   CPPUNIT_TEST(AgentReadsItsService);
   CPPUNIT_TEST_SUITE_END();
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT(present.Advance(records) == ActivationResult::kActivated);
   }
 
-  void ActivatesOnlyWhenWhole() {
+  void ActivatesOnlyWhenComplete() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     const std::vector<PublishedRecord> parts = AllRecords(store);
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(activator.Advance(records) == ActivationResult::kNothingNewer);
   }
 
-  void PartOfALaterRevisionHoldsTheOlderBack() {
+  void PartOfLaterRevisionBlocksTheOlder() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     dissemination::RecordStore records(kLimits);
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT_EQUAL(base::Revision(2), activator.Active().revision);
   }
 
-  void OnlyWhatChangedIsPublished() {
+  void PublishesOnlyChangedRecords() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     dissemination::RecordStore records(kLimits);
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(published.records[1].key == KeyOf(RecordKind::kSettingsRoot));
   }
 
-  void MalformedRootIsRefusedAndTheOldStays() {
+  void MalformedRootKeepsTheActiveSettings() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     dissemination::RecordStore records(kLimits);
--- a/libs/lease/include/gaugevalve/lease/lease_holder.h
+++ b/libs/lease/include/gaugevalve/lease/lease_holder.h
@@ -82,31 +82,31 @@
 
  private:
   enum class State : std::uint8_t {
-    kIdle,          // not trying
-    kBackingOff,    // something failed; looks again at due_
-    kLooking,       // reads who holds the lease
-    kWaiting,       // another holds it; looks again at due_
-    kGranting,      // asks for a store lease
-    kAcquiring,     // tries to create the key
-    kResolving,     // reads whether a lost acquisition took effect
-    kResolveLater,  // that read failed; again at due_
-    kHeld,          // renews at due_
-    kRenewing,      // a renewal is under way
-    kVerifying,     // renewed after a lapse; reads whether the key is still ours
+    kIdle,           // not trying
+    kBackingOff,     // something failed; looks again at due_
+    kReadingHolder,  // reads who holds the lease
+    kWaiting,        // another holds it; looks again at due_
+    kGranting,       // asks for a store lease
+    kAcquiring,      // tries to create the key
+    kResolving,      // reads whether a lost acquisition took effect
+    kResolveLater,   // that read failed; again at due_
+    kHeld,           // renews at due_
+    kRenewing,       // a renewal is under way
+    kVerifying,      // renewed after a lapse; reads whether the key is still ours
   };
 
   void Send(State state, const store::Request& request, base::TimePoint now);
   LeaseRequestTag Queue(const store::Request& request);
   void WaitUntil(State state, base::TimePoint due);
   void BackOff(State state, base::TimePoint now);
-  void Look(base::TimePoint now);
+  void ReadHolder(base::TimePoint now);
   void Acquire(base::TimePoint now);
   void ReadKey(State state, base::TimePoint now);
   void Renew(base::TimePoint now);
   void Hold(base::Revision create_revision, base::TimePoint now);
-  void Lose(base::TimePoint now);
+  void MarkLost(base::TimePoint now);
 
-  void OnLooked(const store::Result& result, base::TimePoint now);
+  void OnHolderRead(const store::Result& result, base::TimePoint now);
   void OnGranted(const store::Result& result, base::TimePoint now);
   void OnAcquired(const store::Result& result, base::TimePoint now);
   void OnResolved(const store::Result& result, base::TimePoint now);
--- a/libs/lease/src/lease_holder.cpp
+++ b/libs/lease/src/lease_holder.cpp
@@ -12,7 +12,7 @@
 
 void LeaseHolder::Campaign(base::TimePoint now) {
   if (state_ == State::kIdle) {
-    Look(now);
+    ReadHolder(now);
   }
 }
 
@@ -33,8 +33,8 @@
   }
   awaited_ = LeaseRequestTag{};
   switch (state_) {
-    case State::kLooking:
-      return OnLooked(result, now);
+    case State::kReadingHolder:
+      return OnHolderRead(result, now);
     case State::kGranting:
       return OnGranted(result, now);
     case State::kAcquiring:
@@ -64,13 +64,13 @@
   switch (state_) {
     case State::kBackingOff:
     case State::kWaiting:
-      return Look(now);
+      return ReadHolder(now);
     case State::kResolveLater:
       return ReadKey(State::kResolving, now);
     case State::kHeld:
       return Renew(now);
     case State::kIdle:
-    case State::kLooking:
+    case State::kReadingHolder:
     case State::kGranting:
     case State::kAcquiring:
     case State::kResolving:
@@ -131,9 +131,9 @@
   WaitUntil(state, now + backoff_.Next(random_));
 }
 
-void LeaseHolder::Look(base::TimePoint now) {
+void LeaseHolder::ReadHolder(base::TimePoint now) {
   store_lease_ = store::LeaseId{};
-  ReadKey(State::kLooking, now);
+  ReadKey(State::kReadingHolder, now);
 }
 
 void LeaseHolder::ReadKey(State state, base::TimePoint now) {
@@ -160,12 +160,12 @@
   WaitUntil(State::kHeld, renewed_at_ + settings_.renew_interval);
 }
 
-void LeaseHolder::Lose(base::TimePoint now) {
+void LeaseHolder::MarkLost(base::TimePoint now) {
   token_ = FencingToken{};
-  Look(now);
+  ReadHolder(now);
 }
 
-void LeaseHolder::OnLooked(const store::Result& result, base::TimePoint now) {
+void LeaseHolder::OnHolderRead(const store::Result& result, base::TimePoint now) {
   if (!result.IsOk()) {
     return BackOff(State::kBackingOff, now);
   }
@@ -205,12 +205,12 @@
   if (range != nullptr && IsOurs(*range)) {
     return Hold(range->key_values.front().create_revision, now);
   }
-  Look(now);
+  ReadHolder(now);
 }
 
 void LeaseHolder::OnResolved(const store::Result& result, base::TimePoint now) {
   if (now >= held_until_) {
-    return Look(now);  // too late to make use of this store lease
+    return ReadHolder(now);  // too late to make use of this store lease
   }
   if (!result.IsOk()) {
     return BackOff(State::kResolveLater, now);
@@ -222,7 +222,7 @@
   if (IsOurs(response)) {
     return Hold(response.key_values.front().create_revision, now);
   }
-  Look(now);
+  ReadHolder(now);
 }
 
 void LeaseHolder::OnRenewed(const store::Result& result, base::TimePoint now) {
@@ -233,7 +233,7 @@
   }
   const auto& response = result.Get<store::LeaseKeepAliveResponse>();
   if (response.ttl_seconds <= 0) {
-    return Lose(now);
+    return MarkLost(now);
   }
   backoff_.Reset();
   ExtendFrom(sent_at_, response.ttl_seconds);
@@ -250,7 +250,7 @@
   }
   const auto& response = result.Get<store::RangeResponse>();
   if (!IsOurs(response)) {
-    return Lose(now);
+    return MarkLost(now);
   }
   Hold(response.key_values.front().create_revision, now);
 }
--- a/libs/lease/tests/lease_holder_test.cpp
+++ b/libs/lease/tests/lease_holder_test.cpp
@@ -13,8 +13,8 @@
 class LeaseHolderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeaseHolderTest);
   CPPUNIT_TEST(AcquiresAndRenews);
-  CPPUNIT_TEST(LapsesByTheClockInAnOutageAndGoesOnWithTheSameToken);
-  CPPUNIT_TEST(SeesOnWakingThatItMayHaveLapsed);
+  CPPUNIT_TEST(LapsesInAnOutageAndResumesWithTheSameToken);
+  CPPUNIT_TEST(DetectsLapseAfterAPause);
   CPPUNIT_TEST(ResolvesLostAnswerByReading);
   CPPUNIT_TEST(ResignsAtOnce);
   CPPUNIT_TEST(LaterHolderHasALargerToken);
@@ -34,7 +34,7 @@
     CPPUNIT_ASSERT(after.held_until > before.held_until);
   }
 
-  void LapsesByTheClockInAnOutageAndGoesOnWithTheSameToken() {
+  void LapsesInAnOutageAndResumesWithTheSameToken() {
     LeaseHolder holder(Settings(), 1);
     Acquire(holder);
     const FencingToken token = holder.View(clock_.Now()).token;
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT_EQUAL(token, holder.View(clock_.Now()).token);
   }
 
-  void SeesOnWakingThatItMayHaveLapsed() {
+  void DetectsLapseAfterAPause() {
     LeaseHolder holder(Settings(), 1);
     Acquire(holder);
     clock_.Advance(std::chrono::seconds(20));  // the process stood still: no Tick()
--- a/libs/routing/include/gaugevalve/routing/flow_digest.h
+++ b/libs/routing/include/gaugevalve/routing/flow_digest.h
@@ -29,11 +29,11 @@
 // numbers; the planner ignores reports that come after a later one.
 //
 // Planners use counts above 0 for order only; whether a bucket is empty is exact. Memory: the
-// counts as sent in the last kRemembered reports. Pure and not thread-safe.
+// counts as sent in the last kMaxUnansweredReports reports. Pure and not thread-safe.
 class FlowDigest {
  public:
   // Unanswered reports after which the next is a whole one.
-  static constexpr std::size_t kRemembered = 8;
+  static constexpr std::size_t kMaxUnansweredReports = 8;
 
   void SetMechanisms(const FlowDigestMechanisms& mechanisms) { mechanisms_ = mechanisms; }
 
@@ -52,13 +52,13 @@
     std::vector<std::uint32_t> flows{};  // as the planner has them if it took the report
   };
 
-  bool MustName(std::size_t bucket, std::uint32_t flows) const;
-  bool WasNamedSinceBase(std::size_t bucket) const;
-  Sent& Slot(std::uint64_t sequence) { return sent_[sequence % kRemembered]; }
+  bool MustSend(std::size_t bucket, std::uint32_t flows) const;
+  bool WasSentSinceBase(std::size_t bucket) const;
+  Sent& Slot(std::uint64_t sequence) { return sent_[sequence % kMaxUnansweredReports]; }
 
   FlowDigestMechanisms mechanisms_;
   Sent base_;  // the newest that the planner is known to have taken; sequence 0: none
-  std::array<Sent, kRemembered> sent_{};
+  std::array<Sent, kMaxUnansweredReports> sent_{};
 };
 
 }  // namespace gaugevalve::routing
--- a/libs/routing/include/gaugevalve/routing/outlier_ejection.h
+++ b/libs/routing/include/gaugevalve/routing/outlier_ejection.h
@@ -30,7 +30,7 @@
     std::uint32_t ejections_in_a_row = 0;
   };
 
-  void ForgetAbsent(std::span<const AgentView> agents);
+  void RemoveAbsent(std::span<const AgentView> agents);
   void ReadmitDue(base::TimePoint now);
   void EjectWorst(std::span<const AgentView> agents, base::TimePoint now);
   bool IsOutlier(const AgentView& agent, double median) const;
--- a/libs/routing/include/gaugevalve/routing/report_ledger.h
+++ b/libs/routing/include/gaugevalve/routing/report_store.h
@@ -19,7 +19,7 @@
   kWrongService = 1,
   kUnknownAgent = 2,      // not among the service's agents
   kOtherIncarnation = 3,  // another life of the agent than membership knows
-  kOlderThanKnown = 4,    // names an older table than an earlier report of the same life
+  kStale = 4,             // names an older table than an earlier report of the same life
   kFutureTable = 5,       // names a table newer than the planner's own: the planner is superseded
   kWrongBucketCount = 6,  // neither empty nor one count for each bucket, or a bucket isn't there
   kNeedsWhole = 7,        // builds on a report that isn't known: a whole one is needed
@@ -27,14 +27,14 @@
 
 // Keeps one report for each known agent: bounded by the service's agents. Reports are the agents'
 // own counts; what an endpoint says of itself never gets here. Not thread-safe.
-class ReportLedger {
+class ReportStore {
  public:
   // `smoothing_time`: time constant of the smoothing; `report_timeout`: age at which a report has
   // no say any more. Both above zero.
-  ReportLedger(base::Duration smoothing_time, base::Duration report_timeout);
+  ReportStore(base::Duration smoothing_time, base::Duration report_timeout);
 
   // Keeps the report of `status`'s agent. The caller has checked service, incarnation and sizes.
-  // Returns kTaken, kOlderThanKnown or kNeedsWhole.
+  // Returns kTaken, kStale or kNeedsWhole.
   ReportOutcome Take(const AgentReport& report, base::TimePoint now);
 
   // Forgets all agents for which `keep(node, incarnation)` is false.
@@ -63,8 +63,8 @@
   };
 
   // Returns the flows that the report tells of, whole; nothing when what it builds on isn't known.
-  std::optional<std::vector<std::uint32_t>> WholeFlows(const AgentReport& report) const;
-  double Trust(const Record& record, base::TimePoint now) const;
+  std::optional<std::vector<std::uint32_t>> FullFlowCounts(const AgentReport& report) const;
+  double ReportWeight(const Record& record, base::TimePoint now) const;
 
   base::Duration smoothing_time_;
   base::Duration report_timeout_;
--- a/libs/routing/include/gaugevalve/routing/service_planner.h
+++ b/libs/routing/include/gaugevalve/routing/service_planner.h
@@ -17,7 +17,7 @@
 #include "gaugevalve/routing/dead_agent_hold.h"
 #include "gaugevalve/routing/move_budget.h"
 #include "gaugevalve/routing/planner_settings.h"
-#include "gaugevalve/routing/report_ledger.h"
+#include "gaugevalve/routing/report_store.h"
 #include "gaugevalve/routing/share_policy.h"
 
 namespace gaugevalve::routing {
@@ -35,11 +35,11 @@
 // The rules that keep flows in place. All are always on in the product; proofs switch one off to
 // show that they would notice.
 struct PlannerMechanisms {
-  bool keep_previous_owner = true;       // in the chain, when a bucket moves
-  bool current_reports_only = true;      // shorten a chain
-  bool restore_holders = true;           // put agents that report flows back into the chain
-  bool start_over_on_take_over = true;   // new versions and full chains for every bucket
-  bool hold_buckets_of_the_dead = true;  // until an agent cut off from control opens nothing
+  bool keep_previous_owner = true;      // in the chain, when a bucket moves
+  bool current_reports_only = true;     // shorten a chain
+  bool restore_flow_holders = true;     // put agents that report flows back into the chain
+  bool restamp_on_take_over = true;     // new versions and full chains for every bucket
+  bool hold_dead_agent_buckets = true;  // until an agent cut off from control opens nothing
 };
 
 // Counts since the planner was made, for metrics.
@@ -131,7 +131,7 @@
 
   // Returns the newest report of an agent, or null; its flows are whole. Valid until the next
   // change.
-  const AgentReport* NewestReport(base::NodeId node) const { return ledger_.Find(node); }
+  const AgentReport* NewestReport(base::NodeId node) const { return reports_.Find(node); }
 
   const PlannerCounters& Counters() const { return counters_; }
 
@@ -148,11 +148,11 @@
     TableVersion since;
   };
 
-  void NoteListings(const BucketTable& next, bool starts_over);
+  void UpdateListings(const BucketTable& next, bool restamps_all);
   const AgentStatus* FindStatus(base::NodeId node) const;
   bool IsDeclaredAlive(base::NodeId node) const;
   bool MayHoldFlows(base::NodeId node) const;
-  void NoteLife(const AgentStatus& status, base::TimePoint now);
+  void RecordIncarnation(const AgentStatus& status, base::TimePoint now);
   ReportOutcome Check(const AgentReport& report) const;
   std::vector<AssignmentCandidate> MakeCandidates(base::TimePoint now);
   std::vector<base::BucketIndex> FreeBuckets(const BucketTable& table) const;
@@ -160,7 +160,7 @@
       const BucketTable& table, const std::vector<base::BucketIndex>& indices) const;
   Assignment Assign(const std::vector<AssignmentCandidate>& candidates, const BucketTable& table,
                     std::size_t allowance) const;
-  bool HoldsNothing(base::NodeId node, std::size_t index, const Bucket& bucket) const;
+  bool ReportsNoFlows(base::NodeId node, std::size_t index, const Bucket& bucket) const;
   std::vector<AgentEntry> ListedAgents() const;
   void DropDeadFromChains(BucketTable& next) const;
   void UpdateChains(BucketTable& next);
@@ -180,8 +180,8 @@
   BucketTable table_;
   std::vector<AgentStatus> agents_;  // sorted by node
   std::map<base::NodeId, Listing> listings_;
-  std::map<base::NodeId, Life> lives_;
-  ReportLedger ledger_;
+  std::map<base::NodeId, Life> known_incarnations_;
+  ReportStore reports_;
   DeadAgentHold dead_agents_;
   MoveBudget budget_;
   bool took_over_ = false;                     // and hasn't decided anything since
--- a/libs/routing/src/dead_agent_hold.cpp
+++ b/libs/routing/src/dead_agent_hold.cpp
@@ -13,10 +13,11 @@
 }
 
 // Tells whether the status says that this life of the agent may still run, unknown to others.
-bool MayRunUnseen(const AgentEntry& agent, const AgentStatus* status) {
-  const bool other_life = status != nullptr && status->entry.incarnation != agent.incarnation;
+bool MayStillRun(const AgentEntry& agent, const AgentStatus* status) {
+  const bool is_other_incarnation =
+      status != nullptr && status->entry.incarnation != agent.incarnation;
   const bool is_there = status != nullptr && status->standing != AgentStanding::kDead;
-  return !other_life && !is_there;
+  return !is_other_incarnation && !is_there;
 }
 
 }  // namespace
@@ -49,7 +50,7 @@
 void DeadAgentHold::Update(const std::vector<AgentEntry>& former,
                            const std::vector<AgentStatus>& agents, base::TimePoint now) {
   std::erase_if(held_, [&](const auto& entry) {
-    return !MayRunUnseen(entry.second.entry, FindNode(agents, entry.first));
+    return !MayStillRun(entry.second.entry, FindNode(agents, entry.first));
   });
   std::vector<AgentEntry> known = former;
   for (const AgentStatus& status : agents) {
@@ -59,7 +60,7 @@
   }
   for (const AgentEntry& agent : known) {
     const bool is_new = !held_.contains(agent.node) && !HasEnded(agent);
-    if (is_new && MayRunUnseen(agent, FindNode(agents, agent.node))) {
+    if (is_new && MayStillRun(agent, FindNode(agents, agent.node))) {
       held_[agent.node] = {agent, LastAnswer(agent, now) + length_};
     }
   }
--- a/libs/routing/src/flow_digest.cpp
+++ b/libs/routing/src/flow_digest.cpp
@@ -17,7 +17,8 @@
 
 void FlowDigest::Shorten(AgentReport& report) {
   const std::vector<std::uint32_t> flows = std::exchange(report.flows_in_buckets, {});
-  const bool is_remembered = base_.sequence > 0 && report.sequence - base_.sequence < kRemembered;
+  const bool is_remembered =
+      base_.sequence > 0 && report.sequence - base_.sequence < kMaxUnansweredReports;
   if (!is_remembered || base_.flows.size() != flows.size()) {
     base_ = {};
     Slot(report.sequence) = {report.sequence, flows};
@@ -27,7 +28,7 @@
   report.flows_base = base_.sequence;
   std::vector<std::uint32_t> as_sent = base_.flows;
   for (std::size_t position = 0; position < flows.size(); ++position) {
-    if (MustName(position, flows[position])) {
+    if (MustSend(position, flows[position])) {
       const base::BucketIndex bucket(static_cast<std::uint16_t>(position));
       report.flow_changes.push_back({bucket, flows[position]});
       as_sent[position] = flows[position];
@@ -36,12 +37,12 @@
   Slot(report.sequence) = {report.sequence, std::move(as_sent)};
 }
 
-bool FlowDigest::MustName(std::size_t bucket, std::uint32_t flows) const {
-  const bool is_repeated = mechanisms_.repeat_unanswered && WasNamedSinceBase(bucket);
+bool FlowDigest::MustSend(std::size_t bucket, std::uint32_t flows) const {
+  const bool is_repeated = mechanisms_.repeat_unanswered && WasSentSinceBase(bucket);
   return is_repeated || IsFarOff(flows, base_.flows[bucket]);
 }
 
-bool FlowDigest::WasNamedSinceBase(std::size_t bucket) const {
+bool FlowDigest::WasSentSinceBase(std::size_t bucket) const {
   return std::any_of(sent_.begin(), sent_.end(), [&](const Sent& sent) {
     return sent.sequence > base_.sequence && sent.flows[bucket] != base_.flows[bucket];
   });
--- a/libs/routing/src/load_steering.cpp
+++ b/libs/routing/src/load_steering.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 // Bounds of what one agent's share is scaled by, whatever the reports say.
-constexpr double kLeastFactor = 0.1;
-constexpr double kGreatestFactor = 3.0;
+constexpr double kMinShareFactor = 0.1;
+constexpr double kMaxShareFactor = 3.0;
 
 // Part of its flow capacity above which an agent takes no new flow.
 constexpr double kFullFlowUtilisation = 0.95;
 
-// Returns the mean utilisation by share and trust; 0 when no report is trusted.
+// Returns the mean utilisation by share and report_weight; 0 when no report is trusted.
 double MeanUtilisation(std::span<const AgentView> agents, std::span<const double> shares) {
   double sum = 0.0;
   double weight = 0.0;
   for (std::size_t position = 0; position < agents.size(); ++position) {
-    const double trusted_share = shares[position] * agents[position].trust;
-    sum += agents[position].utilisation * trusted_share;
-    weight += trusted_share;
+    const double weighted_share = shares[position] * agents[position].report_weight;
+    sum += agents[position].utilisation * weighted_share;
+    weight += weighted_share;
   }
   return weight > 0.0 ? sum / weight : 0.0;
 }
@@ -32,8 +32,8 @@
 double LoadSteering::Factor(const AgentView& agent, double mean_utilisation) const {
   const double deviation = (mean_utilisation - agent.utilisation) / mean_utilisation;
   const double beyond_noise = std::max(0.0, std::abs(deviation) - hysteresis_);
-  const double correction = gain_ * agent.trust * std::copysign(beyond_noise, deviation);
-  return std::clamp(1.0 + correction, kLeastFactor, kGreatestFactor);
+  const double correction = gain_ * agent.report_weight * std::copysign(beyond_noise, deviation);
+  return std::clamp(1.0 + correction, kMinShareFactor, kMaxShareFactor);
 }
 
 void LoadSteering::Adjust(std::span<const AgentView> agents, base::TimePoint /*now*/,
--- a/libs/routing/src/minimal_movement.cpp
+++ b/libs/routing/src/minimal_movement.cpp
@@ -13,48 +13,48 @@
  public:
   Matching(std::span<const AssignmentCandidate> candidates,
            std::span<const AssignmentBucket> buckets)
-      : candidates_(candidates), buckets_(buckets), lacks_(Quotas(candidates, buckets.size())) {
+      : candidates_(candidates), buckets_(buckets), deficits_(Quotas(candidates, buckets.size())) {
     for (const AssignmentBucket& bucket : buckets) {
       const std::optional<std::size_t> owner = PositionOf(bucket.owner);
       owners_.push_back(owner);
       moved_.push_back(false);
       if (owner) {
-        lacks_[*owner] -= 1.0;
+        deficits_[*owner] -= 1.0;
       }
     }
   }
 
   // Moves every bucket whose owner isn't a candidate.
-  void MoveOrphans(Assignment& assignment) {
+  void MoveOrphanedBuckets(Assignment& assignment) {
     for (std::size_t index = 0; index < buckets_.size(); ++index) {
       if (owners_[index]) {
         continue;
       }
-      const std::optional<std::size_t> taker = BestTakerOfOrphan(buckets_[index]);
-      if (!taker) {
+      const std::optional<std::size_t> recipient = BestRecipientForOrphan(buckets_[index]);
+      if (!recipient) {
         ++assignment.blocked;
         continue;
       }
-      Move(index, *taker, assignment.forced);
+      Move(index, *recipient, assignment.forced);
     }
   }
 
-  // Makes the one move that narrows the widest gap. Returns false when no gap above `least_gap` can
+  // Makes the one move that narrows the widest gap. Returns false when no gap above `min_gap` can
   // be narrowed.
-  bool NarrowWidestGap(double least_gap, std::vector<BucketMove>& moves) {
-    std::vector<std::size_t> by_lack(candidates_.size());
-    std::iota(by_lack.begin(), by_lack.end(), std::size_t{0});
-    std::stable_sort(by_lack.begin(), by_lack.end(), [&](std::size_t left, std::size_t right) {
-      return lacks_[left] > lacks_[right];
-    });
-    for (auto giver = by_lack.rbegin(); giver != by_lack.rend(); ++giver) {
-      for (const std::size_t taker : by_lack) {
-        if (lacks_[taker] - lacks_[*giver] <= least_gap) {
+  bool NarrowWidestGap(double min_gap, std::vector<BucketMove>& moves) {
+    std::vector<std::size_t> by_deficit(candidates_.size());
+    std::iota(by_deficit.begin(), by_deficit.end(), std::size_t{0});
+    std::stable_sort(
+        by_deficit.begin(), by_deficit.end(),
+        [&](std::size_t left, std::size_t right) { return deficits_[left] > deficits_[right]; });
+    for (auto donor = by_deficit.rbegin(); donor != by_deficit.rend(); ++donor) {
+      for (const std::size_t recipient : by_deficit) {
+        if (deficits_[recipient] - deficits_[*donor] <= min_gap) {
           break;
         }
-        const std::optional<std::size_t> index = BestBucket(*giver, taker);
+        const std::optional<std::size_t> index = BestBucket(*donor, recipient);
         if (index) {
-          Move(*index, taker, moves);
+          Move(*index, recipient, moves);
           return true;
         }
       }
@@ -99,14 +99,14 @@
     return !grows || bucket.previous_owners.size() < kMaxPreviousOwners;
   }
 
-  std::optional<std::size_t> BestTakerOfOrphan(const AssignmentBucket& bucket) const {
+  std::optional<std::size_t> BestRecipientForOrphan(const AssignmentBucket& bucket) const {
     // Any member of the chain that isn't already above its quota is better than a longer chain.
     const auto rank = [&](std::size_t position) {
       const AssignmentCandidate& candidate = candidates_[position];
-      const bool has_room = candidate.share > 0.0 && lacks_[position] > 0.0;
+      const bool has_room = candidate.share > 0.0 && deficits_[position] > 0.0;
       const bool shortens = has_room && InChain(bucket, candidate.node);
       const bool near = candidate.zone == bucket.owner_zone;
-      return std::tuple(candidate.share > 0.0, shortens, lacks_[position], near);
+      return std::tuple(candidate.share > 0.0, shortens, deficits_[position], near);
     };
     std::optional<std::size_t> best;
     for (std::size_t position = 0; position < candidates_.size(); ++position) {
@@ -120,8 +120,8 @@
     return best;
   }
 
-  std::optional<std::size_t> BestBucket(std::size_t giver, std::size_t taker) const {
-    const base::NodeId new_owner = candidates_[taker].node;
+  std::optional<std::size_t> BestBucket(std::size_t donor, std::size_t recipient) const {
+    const base::NodeId new_owner = candidates_[recipient].node;
     const auto cost = [&](std::size_t index) {
       const AssignmentBucket& bucket = buckets_[index];
       return std::tuple(!InChain(bucket, new_owner), bucket.previous_owners.size(),
@@ -130,7 +130,7 @@
     std::optional<std::size_t> best;
     for (std::size_t index = 0; index < buckets_.size(); ++index) {
       const bool movable =
-          owners_[index] == giver && !moved_[index] && ChainAllows(buckets_[index], new_owner);
+          owners_[index] == donor && !moved_[index] && ChainAllows(buckets_[index], new_owner);
       if (movable && (!best || cost(index) < cost(*best))) {
         best = index;
       }
@@ -138,20 +138,20 @@
     return best;
   }
 
-  void Move(std::size_t index, std::size_t taker, std::vector<BucketMove>& moves) {
+  void Move(std::size_t index, std::size_t recipient, std::vector<BucketMove>& moves) {
     if (owners_[index]) {
-      lacks_[*owners_[index]] += 1.0;
+      deficits_[*owners_[index]] += 1.0;
     }
-    lacks_[taker] -= 1.0;
-    owners_[index] = taker;
+    deficits_[recipient] -= 1.0;
+    owners_[index] = recipient;
     moved_[index] = true;
     moves.push_back(
-        {base::BucketIndex(static_cast<std::uint16_t>(index)), candidates_[taker].node});
+        {base::BucketIndex(static_cast<std::uint16_t>(index)), candidates_[recipient].node});
   }
 
   std::span<const AssignmentCandidate> candidates_;
   std::span<const AssignmentBucket> buckets_;
-  std::vector<double> lacks_;  // quota minus owned, by candidate
+  std::vector<double> deficits_;  // quota minus owned, by candidate
   std::vector<std::optional<std::size_t>> owners_;
   std::vector<bool> moved_;
 };
@@ -163,12 +163,12 @@
                                    std::size_t allowance) const {
   Assignment assignment;
   Matching matching(candidates, buckets);
-  matching.MoveOrphans(assignment);
+  matching.MoveOrphanedBuckets(assignment);
   const double even_quota =
       static_cast<double>(buckets.size()) / static_cast<double>(candidates.size());
-  const double least_gap = 1.0 + hysteresis_ * even_quota;
+  const double min_gap = 1.0 + hysteresis_ * even_quota;
   while (assignment.optional.size() < allowance &&
-         matching.NarrowWidestGap(least_gap, assignment.optional)) {
+         matching.NarrowWidestGap(min_gap, assignment.optional)) {
   }
   return assignment;
 }
--- a/libs/routing/src/movement.cpp
+++ b/libs/routing/src/movement.cpp
@@ -14,7 +14,7 @@
 namespace gaugevalve::routing {
 namespace {
 
-constexpr std::size_t kKeys = 60'000;
+constexpr std::size_t kKeyCount = 60'000;
 constexpr std::uint64_t kKeySeed = 20'240'601;
 constexpr std::size_t kNoCache = 1;  // so that Maglev's table alone is measured
 
@@ -33,8 +33,8 @@
 
 Owners ChooseAll(FlowChooser& chooser) {
   Owners owners;
-  owners.reserve(kKeys);
-  for (std::size_t key = 0; key < kKeys; ++key) {
+  owners.reserve(kKeyCount);
+  for (std::size_t key = 0; key < kKeyCount; ++key) {
     owners.push_back(chooser.Choose(KeyHash(key)).value());
   }
   return owners;
@@ -42,8 +42,8 @@
 
 Owners OwnersIn(const BucketTable& table) {
   Owners owners;
-  owners.reserve(kKeys);
-  for (std::size_t key = 0; key < kKeys; ++key) {
+  owners.reserve(kKeyCount);
+  for (std::size_t key = 0; key < kKeyCount; ++key) {
     owners.push_back(table.buckets[table.BucketOf(KeyHash(key)).value()].owner);
   }
   return owners;
@@ -60,9 +60,9 @@
 }
 
 // Lets the planner step until it has nothing more to change.
-void StepUntilQuiet(ServicePlanner& planner, base::TimePoint& now) {
-  constexpr int kQuietSteps = 90;  // longer than the budget of moves may make it wait
-  for (int quiet = 0; quiet < kQuietSteps; ++quiet) {
+void StepUntilStable(ServicePlanner& planner, base::TimePoint& now) {
+  constexpr int kStableSteps = 90;  // longer than the budget of moves may make it wait
+  for (int quiet = 0; quiet < kStableSteps; ++quiet) {
     now += std::chrono::seconds(1);
     if (planner.Step(now)) {
       quiet = 0;
@@ -78,7 +78,7 @@
   movement.after = agents_after;
   std::size_t moved = 0;
   std::map<base::NodeId, std::size_t> keys_of;
-  for (std::size_t key = 0; key < kKeys; ++key) {
+  for (std::size_t key = 0; key < kKeyCount; ++key) {
     moved += before[key] != after[key] ? 1 : 0;
     ++keys_of[after[key]];
   }
@@ -88,9 +88,9 @@
   }
   const auto difference = static_cast<double>(
       agents_before > agents_after ? agents_before - agents_after : agents_after - agents_before);
-  movement.moved = static_cast<double>(moved) / kKeys;
+  movement.moved = static_cast<double>(moved) / kKeyCount;
   movement.minimum = difference / static_cast<double>(std::max(agents_before, agents_after));
-  movement.imbalance = static_cast<double>(most * agents_after) / kKeys;
+  movement.imbalance = static_cast<double>(most * agents_after) / kKeyCount;
   return movement;
 }
 
@@ -101,10 +101,10 @@
   ServicePlanner planner(base::ServiceId(1), 1, 0, settings);
   base::TimePoint now{};
   planner.SetAgents(StatusesOf(before), now);
-  StepUntilQuiet(planner, now);
+  StepUntilStable(planner, now);
   const Owners owners_before = OwnersIn(planner.Table());
   planner.SetAgents(StatusesOf(after), now);
-  StepUntilQuiet(planner, now);
+  StepUntilStable(planner, now);
   return Compare("planner", owners_before, OwnersIn(planner.Table()), before, after);
 }
 
--- a/libs/routing/src/outlier_ejection.cpp
+++ b/libs/routing/src/outlier_ejection.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 // How many times the median failure rate of the service makes an outlier.
-constexpr double kTimesMedian = 3.0;
+constexpr double kOutlierMedianFactor = 3.0;
 
 // Longest ejection, in multiples of the ejection time.
-constexpr std::uint32_t kMostEjectionsInARow = 10;
+constexpr std::uint32_t kMaxEjectionsInARow = 10;
 
 double MedianFailureRate(std::span<const AgentView> agents) {
   std::vector<double> rates;
@@ -35,7 +35,7 @@
       records_.begin(), records_.end(), [](const auto& entry) { return entry.second.ejected; }));
 }
 
-void OutlierEjection::ForgetAbsent(std::span<const AgentView> agents) {
+void OutlierEjection::RemoveAbsent(std::span<const AgentView> agents) {
   std::erase_if(records_, [&](const auto& entry) {
     return std::none_of(agents.begin(), agents.end(),
                         [&](const AgentView& agent) { return agent.node == entry.first; });
@@ -55,7 +55,7 @@
 }
 
 bool OutlierEjection::IsOutlier(const AgentView& agent, double median) const {
-  return agent.failure_rate >= failure_rate_ && agent.failure_rate > kTimesMedian * median;
+  return agent.failure_rate >= failure_rate_ && agent.failure_rate > kOutlierMedianFactor * median;
 }
 
 void OutlierEjection::EjectWorst(std::span<const AgentView> agents, base::TimePoint now) {
@@ -65,8 +65,8 @@
   std::vector<const AgentView*> outliers;
   for (const AgentView& agent : agents) {
     const auto record = records_.find(agent.node);
-    const bool already_out = record != records_.end() && record->second.ejected;
-    if (!already_out && IsOutlier(agent, median)) {
+    const bool is_already_ejected = record != records_.end() && record->second.ejected;
+    if (!is_already_ejected && IsOutlier(agent, median)) {
       outliers.push_back(&agent);
     }
   }
@@ -78,7 +78,7 @@
       return;
     }
     Record& record = records_[agent->node];
-    record.ejections_in_a_row = std::min(record.ejections_in_a_row + 1, kMostEjectionsInARow);
+    record.ejections_in_a_row = std::min(record.ejections_in_a_row + 1, kMaxEjectionsInARow);
     record.ejected = true;
     record.until = now + ejection_time_ * record.ejections_in_a_row;
   }
@@ -89,7 +89,7 @@
   if (agents.empty()) {
     return;
   }
-  ForgetAbsent(agents);
+  RemoveAbsent(agents);
   ReadmitDue(now);
   EjectWorst(agents, now);
   // Agents that left since they were counted may have lowered the cap: the earliest due come back.
--- a/libs/routing/src/report_ledger.cpp
+++ b/libs/routing/src/report_store.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/routing/report_ledger.h"
+#include "gaugevalve/routing/report_store.h"
 
 #include <algorithm>
 #include <chrono>
@@ -10,7 +10,7 @@
 
 // A queue longer than this many times the slots adds nothing to the measure of load, so that one
 // absurd report can't outweigh all others.
-constexpr double kMostUtilisation = 4.0;
+constexpr double kMaxUtilisation = 4.0;
 
 double Seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
@@ -23,15 +23,15 @@
   const double busy = measured ? Seconds(report.busy_slot_time) / Seconds(report.measured_time)
                                : static_cast<double>(report.busy_slots);
   const double wanted = std::min<double>(busy, report.total_slots) + report.queued_requests;
-  return std::min(kMostUtilisation, wanted / report.total_slots);
+  return std::min(kMaxUtilisation, wanted / report.total_slots);
 }
 
 }  // namespace
 
-ReportLedger::ReportLedger(base::Duration smoothing_time, base::Duration report_timeout)
+ReportStore::ReportStore(base::Duration smoothing_time, base::Duration report_timeout)
     : smoothing_time_(smoothing_time), report_timeout_(report_timeout) {}
 
-std::optional<std::vector<std::uint32_t>> ReportLedger::WholeFlows(
+std::optional<std::vector<std::uint32_t>> ReportStore::FullFlowCounts(
     const AgentReport& report) const {
   if (report.flows_base == 0) {
     return report.flows_in_buckets;
@@ -52,18 +52,18 @@
   return flows;
 }
 
-ReportOutcome ReportLedger::Take(const AgentReport& report, base::TimePoint now) {
+ReportOutcome ReportStore::Take(const AgentReport& report, base::TimePoint now) {
   const auto found = records_.find(report.node);
   const bool is_first =
       found == records_.end() || found->second.report.incarnation != report.incarnation;
   const bool is_numbered = report.sequence > 0;
   if (!is_first && is_numbered && report.sequence <= found->second.report.sequence) {
-    return ReportOutcome::kOlderThanKnown;
+    return ReportOutcome::kStale;
   }
   if (!is_first && report.table_version < found->second.report.table_version) {
-    return ReportOutcome::kOlderThanKnown;
+    return ReportOutcome::kStale;
   }
-  std::optional<std::vector<std::uint32_t>> flows = WholeFlows(report);
+  std::optional<std::vector<std::uint32_t>> flows = FullFlowCounts(report);
   if (!flows) {
     return ReportOutcome::kNeedsWhole;
   }
@@ -76,8 +76,8 @@
     return ReportOutcome::kTaken;
   }
   Record& record = found->second;
-  constexpr double kLeastInterval = 1e-3;  // seconds; reports that arrive together
-  const double interval = std::max(kLeastInterval, Seconds(now - record.received_at));
+  constexpr double kMinReportIntervalSeconds = 1e-3;  // seconds; reports that arrive together
+  const double interval = std::max(kMinReportIntervalSeconds, Seconds(now - record.received_at));
   const double part = 1.0 - std::exp(-interval / Seconds(smoothing_time_));
   record.slot_utilisation += part * (SlotUtilisation(report) - record.slot_utilisation);
   record.failure_rate += part * (report.endpoint_failures / interval - record.failure_rate);
@@ -86,13 +86,13 @@
   return ReportOutcome::kTaken;
 }
 
-const AgentReport* ReportLedger::Find(base::NodeId node) const {
+const AgentReport* ReportStore::Find(base::NodeId node) const {
   const auto found = records_.find(node);
   return found == records_.end() ? nullptr : &found->second.report;
 }
 
-std::optional<std::uint32_t> ReportLedger::FlowsInBucket(base::NodeId node,
-                                                         std::size_t bucket) const {
+std::optional<std::uint32_t> ReportStore::FlowsInBucket(base::NodeId node,
+                                                        std::size_t bucket) const {
   const AgentReport* report = Find(node);
   if (report == nullptr || bucket >= report->flows_in_buckets.size()) {
     return std::nullopt;
@@ -100,13 +100,13 @@
   return report->flows_in_buckets[bucket];
 }
 
-double ReportLedger::Trust(const Record& record, base::TimePoint now) const {
+double ReportStore::ReportWeight(const Record& record, base::TimePoint now) const {
   const double age = Seconds(now - record.received_at) / Seconds(report_timeout_);
   return std::clamp(1.0 - age, 0.0, 1.0);
 }
 
-AgentView ReportLedger::View(const AgentStatus& status, base::TimePoint first_seen,
-                             base::TimePoint now) const {
+AgentView ReportStore::View(const AgentStatus& status, base::TimePoint first_seen,
+                            base::TimePoint now) const {
   AgentView view;
   view.node = status.entry.node;
   view.zone = status.entry.zone;
@@ -121,7 +121,7 @@
   view.flow_utilisation = record.report.open_flows / capacity;
   view.utilisation =
       record.report.total_slots > 0 ? record.slot_utilisation : view.flow_utilisation;
-  view.trust = Trust(record, now);
+  view.report_weight = ReportWeight(record, now);
   view.failure_rate = record.failure_rate;
   view.age_of_service = record.report.age_of_service + (now - record.received_at);
   return view;
--- a/libs/routing/src/service_planner.cpp
+++ b/libs/routing/src/service_planner.cpp
@@ -58,7 +58,7 @@
       policies_(std::move(policies)),
       epoch_(epoch),
       generation_(generation),
-      ledger_(settings_.smoothing_time, settings_.report_timeout),
+      reports_(settings_.smoothing_time, settings_.report_timeout),
       dead_agents_(settings_.dead_agent_hold),
       budget_(settings_.max_moves_per_step, settings_.max_moves_per_minute) {
   table_.service = service;
@@ -83,29 +83,30 @@
   }
   agents_ = std::move(sorted);
   urgent_ = true;
-  if (mechanisms_.hold_buckets_of_the_dead) {
+  if (mechanisms_.hold_dead_agent_buckets) {
     dead_agents_.Update(table_.agents, agents_, now);
   }
-  ledger_.Retain([&](base::NodeId node, base::Incarnation incarnation) {
+  reports_.Retain([&](base::NodeId node, base::Incarnation incarnation) {
     const AgentStatus* status = FindStatus(node);
     return status != nullptr && status->entry.incarnation == incarnation;
   });
-  std::erase_if(lives_, [&](const auto& entry) { return FindStatus(entry.first) == nullptr; });
+  std::erase_if(known_incarnations_,
+                [&](const auto& entry) { return FindStatus(entry.first) == nullptr; });
   for (const AgentStatus& status : agents_) {
-    NoteLife(status, now);
+    RecordIncarnation(status, now);
   }
 }
 
-void ServicePlanner::NoteLife(const AgentStatus& status, base::TimePoint now) {
-  const auto known = lives_.find(status.entry.node);
-  if (known != lives_.end() && known->second.incarnation == status.entry.incarnation) {
+void ServicePlanner::RecordIncarnation(const AgentStatus& status, base::TimePoint now) {
+  const auto known = known_incarnations_.find(status.entry.node);
+  if (known != known_incarnations_.end() && known->second.incarnation == status.entry.incarnation) {
     return;
   }
   // A life that the table already names isn't new, whatever this planner has seen of it.
   const AgentEntry* entry = table_.FindAgent(status.entry.node);
   const bool in_table = entry != nullptr && entry->incarnation == status.entry.incarnation;
   const base::TimePoint first_seen = in_table ? now - settings_.cold_start_ramp : now;
-  lives_[status.entry.node] = Life{status.entry.incarnation, first_seen};
+  known_incarnations_[status.entry.node] = Life{status.entry.incarnation, first_seen};
 }
 
 const AgentStatus* ServicePlanner::FindStatus(base::NodeId node) const {
@@ -148,7 +149,7 @@
 ReportOutcome ServicePlanner::TakeReport(const AgentReport& report, base::TimePoint now) {
   ReportOutcome outcome = Check(report);
   if (outcome == ReportOutcome::kTaken) {
-    outcome = ledger_.Take(report, now);
+    outcome = reports_.Take(report, now);
   }
   if (outcome != ReportOutcome::kTaken) {
     ++counters_.reports_refused;
@@ -159,7 +160,7 @@
 bool ServicePlanner::MayAnswer(ReportOutcome outcome) {
   switch (outcome) {
     case ReportOutcome::kTaken:
-    case ReportOutcome::kOlderThanKnown:
+    case ReportOutcome::kStale:
     case ReportOutcome::kWrongBucketCount:
     case ReportOutcome::kNeedsWhole:
       return true;
@@ -180,10 +181,11 @@
 std::vector<AssignmentCandidate> ServicePlanner::MakeCandidates(base::TimePoint now) {
   std::vector<AgentView> views;
   for (const AgentStatus& status : agents_) {
-    const AgentReport* report = ledger_.Find(status.entry.node);
+    const AgentReport* report = reports_.Find(status.entry.node);
     const bool draining = report != nullptr && report->state == AgentState::kDraining;
     if (status.standing == AgentStanding::kLive && !draining) {
-      views.push_back(ledger_.View(status, lives_.at(status.entry.node).first_seen, now));
+      views.push_back(
+          reports_.View(status, known_incarnations_.at(status.entry.node).first_seen, now));
     }
   }
   std::vector<double> shares;
@@ -224,7 +226,7 @@
     view.owner = bucket.owner;
     view.owner_zone = owner != nullptr ? owner->zone : std::string();
     view.owner_alive = IsDeclaredAlive(bucket.owner);
-    view.flows_at_owner = ledger_.FlowsInBucket(bucket.owner, index.value()).value_or(0);
+    view.flows_at_owner = reports_.FlowsInBucket(bucket.owner, index.value()).value_or(0);
     view.previous_owners = bucket.previous_owners;
   }
   return buckets;
@@ -262,28 +264,28 @@
   }
 }
 
-bool ServicePlanner::HoldsNothing(base::NodeId node, std::size_t index,
-                                  const Bucket& bucket) const {
-  const AgentReport* report = ledger_.Find(node);
+bool ServicePlanner::ReportsNoFlows(base::NodeId node, std::size_t index,
+                                    const Bucket& bucket) const {
+  const AgentReport* report = reports_.Find(node);
   if (report == nullptr) {
     return false;
   }
   if (mechanisms_.current_reports_only && report->table_version < bucket.version) {
     return false;
   }
-  return ledger_.FlowsInBucket(node, index) == 0U;
+  return reports_.FlowsInBucket(node, index) == 0U;
 }
 
 bool ServicePlanner::UpdateChain(std::size_t index, Bucket& bucket) const {
   const std::vector<base::NodeId> before = bucket.previous_owners;
   std::erase_if(bucket.previous_owners,
-                [&](base::NodeId node) { return HoldsNothing(node, index, bucket); });
-  if (!mechanisms_.restore_holders) {
+                [&](base::NodeId node) { return ReportsNoFlows(node, index, bucket); });
+  if (!mechanisms_.restore_flow_holders) {
     return bucket.previous_owners != before;
   }
   for (const AgentStatus& status : agents_) {
     const base::NodeId node = status.entry.node;
-    const bool holds_flows = ledger_.FlowsInBucket(node, index).value_or(0) > 0;
+    const bool holds_flows = reports_.FlowsInBucket(node, index).value_or(0) > 0;
     const bool named = node == bucket.owner || Contains(bucket.previous_owners, node);
     const bool has_room = bucket.previous_owners.size() < kMaxPreviousOwners;
     if (holds_flows && !named && has_room && IsDeclaredAlive(node)) {
@@ -317,7 +319,7 @@
 
 bool ServicePlanner::HaveAllReported() const {
   return std::all_of(agents_.begin(), agents_.end(), [&](const AgentStatus& status) {
-    return status.standing == AgentStanding::kDead || ledger_.Find(status.entry.node) != nullptr;
+    return status.standing == AgentStanding::kDead || reports_.Find(status.entry.node) != nullptr;
   });
 }
 
@@ -343,8 +345,8 @@
       }
     }
     std::stable_sort(others.begin(), others.end(), [&](base::NodeId left, base::NodeId right) {
-      return ledger_.FlowsInBucket(left, index).value_or(0) >
-             ledger_.FlowsInBucket(right, index).value_or(0);
+      return reports_.FlowsInBucket(left, index).value_or(0) >
+             reports_.FlowsInBucket(right, index).value_or(0);
     });
     const std::size_t room = kMaxPreviousOwners - bucket.previous_owners.size();
     others.resize(std::min(others.size(), room));
@@ -363,7 +365,7 @@
       next.buckets[index].version = next.version;
     }
   }
-  NoteListings(next, stamp_all);
+  UpdateListings(next, stamp_all);
   TableDelta delta = MakeDelta(table_, next);
   table_ = std::move(next);
   ++counters_.deltas;
@@ -371,13 +373,13 @@
 }
 
 // After a take-over nothing is known of what agents were told, so they need the first own table.
-void ServicePlanner::NoteListings(const BucketTable& next, bool starts_over) {
+void ServicePlanner::UpdateListings(const BucketTable& next, bool restamps_all) {
   std::map<base::NodeId, Listing> listings;
   for (const AgentEntry& entry : next.agents) {
     const auto known = listings_.find(entry.node);
-    const bool goes_on =
-        !starts_over && known != listings_.end() && known->second.incarnation == entry.incarnation;
-    listings[entry.node] = goes_on ? known->second : Listing{entry.incarnation, next.version};
+    const bool is_continuous =
+        !restamps_all && known != listings_.end() && known->second.incarnation == entry.incarnation;
+    listings[entry.node] = is_continuous ? known->second : Listing{entry.incarnation, next.version};
   }
   listings_ = std::move(listings);
 }
@@ -404,8 +406,8 @@
   }
   BucketTable next = table_;
   DropDeadFromChains(next);
-  const bool starts_over = std::exchange(took_over_, false) && mechanisms_.start_over_on_take_over;
-  if (starts_over) {
+  const bool restamps_all = std::exchange(took_over_, false) && mechanisms_.restamp_on_take_over;
+  if (restamps_all) {
     FillChains(next);
   } else {
     UpdateChains(next);
@@ -418,7 +420,7 @@
   counters_.forced_moves += assignment.forced.size();
   counters_.optional_moves += assignment.optional.size();
   counters_.blocked_moves += assignment.blocked;
-  return Publish(std::move(next), starts_over);
+  return Publish(std::move(next), restamps_all);
 }
 
 }  // namespace gaugevalve::routing
--- a/libs/routing/tests/dead_agent_hold_test.cpp
+++ b/libs/routing/tests/dead_agent_hold_test.cpp
@@ -24,9 +24,9 @@
 class DeadAgentHoldTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DeadAgentHoldTest);
   CPPUNIT_TEST(HoldsFromTheLastAnswer);
-  CPPUNIT_TEST(HoldsFromTheNewsWhenNoAnswerIsKnown);
-  CPPUNIT_TEST(AnotherLifeOrAFarewellNeedsNoWait);
-  CPPUNIT_TEST(HoldsOnlyOnceAndNotWhoIsBack);
+  CPPUNIT_TEST(HoldsFromDeclarationWhenNoAnswerIsKnown);
+  CPPUNIT_TEST(RestartOrGracefulLeaveEndsTheHold);
+  CPPUNIT_TEST(HoldsOncePerDeathUntilTheAgentIsLiveAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -41,14 +41,14 @@
     CPPUNIT_ASSERT(!hold.Holds(kNode));
   }
 
-  void HoldsFromTheNewsWhenNoAnswerIsKnown() {
+  void HoldsFromDeclarationWhenNoAnswerIsKnown() {
     DeadAgentHold hold(kDeadAgentHold);
     hold.NoteAnswered(kNode, base::Incarnation(9), At(1000));  // of another life
     hold.Update(listed_, {}, At(3000));
     CPPUNIT_ASSERT(hold.NextRelease() == At(3000) + kDeadAgentHold);
   }
 
-  void AnotherLifeOrAFarewellNeedsNoWait() {
+  void RestartOrGracefulLeaveEndsTheHold() {
     DeadAgentHold restarted(kDeadAgentHold);
     restarted.Update(listed_, {}, At(3000));
     restarted.Update(listed_, {MakeStatus(2)}, At(3100));
@@ -64,7 +64,7 @@
   }
 
   // A table that nobody can replace goes on listing who is dead.
-  void HoldsOnlyOnceAndNotWhoIsBack() {
+  void HoldsOncePerDeathUntilTheAgentIsLiveAgain() {
     DeadAgentHold hold(kDeadAgentHold);
     hold.Update(listed_, {}, At(0));
     CPPUNIT_ASSERT(hold.Release(At(2600)));
--- a/libs/routing/tests/flow_chooser_test.cpp
+++ b/libs/routing/tests/flow_chooser_test.cpp
@@ -24,10 +24,10 @@
 class FlowChooserTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FlowChooserTest);
   CPPUNIT_TEST(MaglevTableIsEven);
-  CPPUNIT_TEST(MaglevCacheKeepsAFlowUntilItsAgentGoes);
-  CPPUNIT_TEST(CacheForgetsTheLeastRecentlyUsed);
-  CPPUNIT_TEST(NoAgentsNoChoice);
-  CPPUNIT_TEST(PlannerMovesAboutTheMinimumAsMaglevDoesAndModuloDoesNot);
+  CPPUNIT_TEST(MaglevCacheKeepsFlowUntilItsAgentIsRemoved);
+  CPPUNIT_TEST(CacheEvictsLeastRecentlyUsed);
+  CPPUNIT_TEST(ChoosesNothingWithoutAgents);
+  CPPUNIT_TEST(PlannerMovesCloseToTheMinimum);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, places.size());
   }
 
-  void MaglevCacheKeepsAFlowUntilItsAgentGoes() {
+  void MaglevCacheKeepsFlowUntilItsAgentIsRemoved() {
     const auto chooser = MakeFlowChooser(ChooserKind::kMaglev, 0, 1000);
     std::map<std::uint64_t, base::NodeId> chosen;
     chooser->SetAgents(MakeNodes(3));
@@ -59,7 +59,7 @@
     }
   }
 
-  void CacheForgetsTheLeastRecentlyUsed() {
+  void CacheEvictsLeastRecentlyUsed() {
     FlowCache cache(2);
     cache.Insert(1, base::NodeId(1));
     cache.Insert(2, base::NodeId(2));
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT(!cache.Find(2).has_value());
   }
 
-  void NoAgentsNoChoice() {
+  void ChoosesNothingWithoutAgents() {
     for (const ChooserKind kind : {ChooserKind::kModulo, ChooserKind::kMaglev,
                                    ChooserKind::kRendezvous, ChooserKind::kRandom}) {
       const auto chooser = MakeFlowChooser(kind, 1, 10);
@@ -79,8 +79,8 @@
   }
 
   // A planner's movement may pass the minimum only by the grain of its buckets and its hysteresis.
-  void PlannerMovesAboutTheMinimumAsMaglevDoesAndModuloDoesNot() {
-    constexpr double kGrain = 0.02;
+  void PlannerMovesCloseToTheMinimum() {
+    constexpr double kGranularityTolerance = 0.02;
     for (const auto& [before, after] : {std::pair{3, 4}, {4, 3}, {7, 8}, {8, 7}, {7, 5}}) {
       const std::vector<Movement> movements =
           MeasureMovement(static_cast<std::size_t>(before), static_cast<std::size_t>(after), 256);
@@ -91,8 +91,8 @@
       }
       std::cout << "\n";
       const Movement& planner = movements[0];
-      CPPUNIT_ASSERT(planner.moved <= planner.minimum + kGrain);
-      CPPUNIT_ASSERT(planner.moved < movements[2].moved + kGrain);
+      CPPUNIT_ASSERT(planner.moved <= planner.minimum + kGranularityTolerance);
+      CPPUNIT_ASSERT(planner.moved < movements[2].moved + kGranularityTolerance);
       CPPUNIT_ASSERT(planner.moved < movements[3].moved);
       CPPUNIT_ASSERT(planner.imbalance < 1.06);
     }
--- a/libs/routing/tests/flow_digest_test.cpp
+++ b/libs/routing/tests/flow_digest_test.cpp
@@ -7,9 +7,9 @@
 
 class FlowDigestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FlowDigestTest);
-  CPPUNIT_TEST(NamesWhatChangedSinceTheLastAnswer);
-  CPPUNIT_TEST(RepeatsWhatIsUnanswered);
-  CPPUNIT_TEST(WholeWhenWantedAndAfterManyLostAnswers);
+  CPPUNIT_TEST(ListsChangesSinceTheLastAnswer);
+  CPPUNIT_TEST(RepeatsUnansweredChanges);
+  CPPUNIT_TEST(FullReportOnRequestAndAfterManyLostAnswers);
   CPPUNIT_TEST_SUITE_END();
 
   static AgentReport Shortened(FlowDigest& digest, std::uint64_t sequence,
@@ -21,7 +21,7 @@
     return report;
   }
 
-  void NamesWhatChangedSinceTheLastAnswer() {
+  void ListsChangesSinceTheLastAnswer() {
     FlowDigest digest;
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, Shortened(digest, 1, {30, 0, 4}).flows_base);
     digest.TakeAnswer(1, FlowsOutcome::kTaken);
@@ -35,7 +35,7 @@
   }
 
   // The planner may have taken the second report or not: the third is right for both.
-  void RepeatsWhatIsUnanswered() {
+  void RepeatsUnansweredChanges() {
     FlowDigest digest;
     Shortened(digest, 1, {30, 0});
     digest.TakeAnswer(1, FlowsOutcome::kTaken);
@@ -46,7 +46,7 @@
     CPPUNIT_ASSERT(Shortened(digest, 4, {30, 0}).flow_changes.empty());
   }
 
-  void WholeWhenWantedAndAfterManyLostAnswers() {
+  void FullReportOnRequestAndAfterManyLostAnswers() {
     FlowDigest digest;
     Shortened(digest, 1, {30});
     digest.TakeAnswer(1, FlowsOutcome::kTaken);
--- a/libs/routing/tests/service_planner_test.cpp
+++ b/libs/routing/tests/service_planner_test.cpp
@@ -86,19 +86,19 @@
   CPPUNIT_TEST(LeavingAgentLosesAllBucketsAtOnceAndStaysInTheChains);
   CPPUNIT_TEST(PreviousOwnerStaysUntilItReportsNoFlowAtTheMovesVersion);
   CPPUNIT_TEST(DeadAgentIsInNoChainAndOwnsNothing);
-  CPPUNIT_TEST(AgentThatSaidFarewellOrHasAnotherLifeIsNotWaitedFor);
-  CPPUNIT_TEST(OnlyWhoIsKnownToLiveMayBeAnswered);
-  CPPUNIT_TEST(BucketsGoBackToMembersOfTheChain);
+  CPPUNIT_TEST(GracefulLeaveOrRestartNeedsNoHold);
+  CPPUNIT_TEST(OnlyLiveAgentsMayBeAnswered);
+  CPPUNIT_TEST(BucketsReturnToChainMembers);
   CPPUNIT_TEST(JoiningAgentGetsItsShareInBoundedSteps);
   CPPUNIT_TEST(ColdAgentGetsItsShareAlongTheRamp);
-  CPPUNIT_TEST(LastTableStaysWhenNobodyIsAlive);
+  CPPUNIT_TEST(LastTableStaysWithoutLiveAgents);
   CPPUNIT_TEST(ReturningAgentWithFlowsIsPutBackIntoTheChain);
   CPPUNIT_TEST(TakeOverKeepsTheTableUnderNewVersions);
-  CPPUNIT_TEST(TakeOverDoesntWaitForEverForReports);
+  CPPUNIT_TEST(TakeOverWaitForReportsIsBounded);
   CPPUNIT_TEST(ReportsFromBeforeATakeOverShortenNoChain);
   CPPUNIT_TEST(TakeOverOfANewerTableIsRefused);
-  CPPUNIT_TEST(ReportsThatDontFitAreRefused);
-  CPPUNIT_TEST(AnAgentNeedsOnlyTheTableThatFirstListedIt);
+  CPPUNIT_TEST(MismatchedReportsAreRefused);
+  CPPUNIT_TEST(AgentNeedsOnlyTheFirstTableThatListsIt);
   CPPUNIT_TEST(BusyAgentLosesBuckets);
   CPPUNIT_TEST(FullChainMovesOnlyBackToItsMembers);
   CPPUNIT_TEST_SUITE_END();
@@ -163,7 +163,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.planner.Table().agents.size());
   }
 
-  void AgentThatSaidFarewellOrHasAnotherLifeIsNotWaitedFor() {
+  void GracefulLeaveOrRestartNeedsNoHold() {
     Fixture fixture = WithThreeAgents();
     fixture.planner.NoteFarewell(Node(3), base::Incarnation(1));
     fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2)}, fixture.now);
@@ -175,7 +175,7 @@
     CPPUNIT_ASSERT(!fixture.planner.NextRelease().has_value());
   }
 
-  void OnlyWhoIsKnownToLiveMayBeAnswered() {
+  void OnlyLiveAgentsMayBeAnswered() {
     Fixture fixture = WithThreeAgents();
     CPPUNIT_ASSERT(ServicePlanner::MayAnswer(fixture.Report(3, 0)));
     fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2), MakeStatus(3, AgentStanding::kDead)},
@@ -186,7 +186,7 @@
     CPPUNIT_ASSERT(!ServicePlanner::MayAnswer(ReportOutcome::kFutureTable));
   }
 
-  void BucketsGoBackToMembersOfTheChain() {
+  void BucketsReturnToChainMembers() {
     Fixture fixture = WithThreeAgents();
     const BucketTable before = fixture.planner.Table();
     fixture.planner.SetAgents(
@@ -238,7 +238,7 @@
     CPPUNIT_ASSERT(at_the_end >= 14);
   }
 
-  void LastTableStaysWhenNobodyIsAlive() {
+  void LastTableStaysWithoutLiveAgents() {
     Fixture fixture = WithThreeAgents();
     const BucketTable before = fixture.planner.Table();
     fixture.planner.SetAgents({}, fixture.now);
@@ -288,7 +288,7 @@
     }
   }
 
-  void TakeOverDoesntWaitForEverForReports() {
+  void TakeOverWaitForReportsIsBounded() {
     Fixture former = WithThreeAgents();
     Fixture successor = Successor(former.planner.Table());
     CPPUNIT_ASSERT(!successor.planner.Step(successor.now).has_value());
@@ -328,7 +328,7 @@
     CPPUNIT_ASSERT_THROW(other.TakeOver(fixture.planner.Table()), std::invalid_argument);
   }
 
-  void ReportsThatDontFitAreRefused() {
+  void MismatchedReportsAreRefused() {
     Fixture fixture = WithThreeAgents();
     AgentReport report;
     report.service = kService;
@@ -343,7 +343,7 @@
     report.table_version = {1, 0, 1};
     CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kTaken);
     report.table_version = {1, 0, 0};
-    CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kOlderThanKnown);
+    CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kStale);
     report.incarnation = base::Incarnation(2);
     CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kOtherIncarnation);
     report.node = Node(9);
@@ -355,7 +355,7 @@
 
   // Tables that come late to agents while the planner changes them with each report made agents
   // drop first packets as stale_table: an answer named the newest table.
-  void AnAgentNeedsOnlyTheTableThatFirstListedIt() {
+  void AgentNeedsOnlyTheFirstTableThatListsIt() {
     Fixture fixture = WithThreeAgents();
     const TableVersion first = fixture.planner.Table().version;
     fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2), MakeStatus(3), MakeStatus(4)},
--- a/libs/routing/tests/share_policies_test.cpp
+++ b/libs/routing/tests/share_policies_test.cpp
@@ -20,7 +20,7 @@
   std::vector<AgentView> views(count);
   for (std::size_t position = 0; position < count; ++position) {
     views[position].node = base::NodeId(position + 1);
-    views[position].trust = 1.0;
+    views[position].report_weight = 1.0;
     views[position].utilisation = 0.5;
     views[position].zone = position == 0 ? "near" : "far";
   }
@@ -41,13 +41,13 @@
 class SharePoliciesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SharePoliciesTest);
   CPPUNIT_TEST(RampRisesInSteps);
-  CPPUNIT_TEST(SteeringFollowsLoadAndTrust);
+  CPPUNIT_TEST(SteeringFollowsLoadAndReportWeight);
   CPPUNIT_TEST(SteeringIgnoresNoise);
   CPPUNIT_TEST(FullAgentGetsNothingUnlessAllAreFull);
-  CPPUNIT_TEST(NearZoneTakesAllUntilItWouldBeOverloaded);
-  CPPUNIT_TEST(EjectionTakesOutTheOutlierForATime);
-  CPPUNIT_TEST(EjectionNeverTakesOutMostOfAService);
-  CPPUNIT_TEST(EjectionSparesAServiceThatFailsAsAWhole);
+  CPPUNIT_TEST(PreferredZoneTakesAllUntilItsUtilisationBound);
+  CPPUNIT_TEST(EjectsOutlierForTheEjectionTime);
+  CPPUNIT_TEST(EjectionNeverExceedsItsCap);
+  CPPUNIT_TEST(EjectsNobodyWhenAllAgentsFail);
   CPPUNIT_TEST(BudgetBoundsStepAndMinute);
   CPPUNIT_TEST_SUITE_END();
 
@@ -62,7 +62,7 @@
                                  kTolerance);
   }
 
-  void SteeringFollowsLoadAndTrust() {
+  void SteeringFollowsLoadAndReportWeight() {
     LoadSteering steering(1.0, 0.0);
     std::vector<AgentView> views = MakeViews(2);
     views[0].utilisation = 0.75;
@@ -70,7 +70,7 @@
     const std::vector<double> trusted = Adjusted(steering, views);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, trusted[0], kTolerance);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.5, trusted[1], kTolerance);
-    views[0].trust = 0.0;
+    views[0].report_weight = 0.0;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, Adjusted(steering, views)[0], kTolerance);
   }
 
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(1.0, Adjusted(steering, views)[0]);
   }
 
-  void NearZoneTakesAllUntilItWouldBeOverloaded() {
+  void PreferredZoneTakesAllUntilItsUtilisationBound() {
     ZonePreference preference({"near"}, 0.8);
     std::vector<AgentView> views = MakeViews(2);
     views[0].utilisation = 0.6;
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, Adjusted(preference, views)[1], kTolerance);
   }
 
-  void EjectionTakesOutTheOutlierForATime() {
+  void EjectsOutlierForTheEjectionTime() {
     OutlierEjection ejection(0.5, seconds(30), 0.34);
     std::vector<AgentView> views = MakeViews(3);
     views[1].failure_rate = 5.0;
@@ -118,7 +118,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, Adjusted(ejection, views, now + seconds(90))[1]);
   }
 
-  void EjectionNeverTakesOutMostOfAService() {
+  void EjectionNeverExceedsItsCap() {
     OutlierEjection ejection(0.5, seconds(30), 0.34);
     std::vector<AgentView> views = MakeViews(7);
     for (std::size_t position = 0; position < 3; ++position) {
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, CountZero(Adjusted(ejection, views)));
   }
 
-  void EjectionSparesAServiceThatFailsAsAWhole() {
+  void EjectsNobodyWhenAllAgentsFail() {
     OutlierEjection ejection(0.5, seconds(30), 0.34);
     std::vector<AgentView> views = MakeViews(3);
     for (AgentView& view : views) {
--- a/libs/routing/tests/table_codec_test.cpp
+++ b/libs/routing/tests/table_codec_test.cpp
@@ -28,23 +28,23 @@
 
 class TableCodecTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TableCodecTest);
-  CPPUNIT_TEST(TableSurvivesTheRoundTripAndIsSmall);
-  CPPUNIT_TEST(DeltaSurvivesTheRoundTripAndIsSmall);
-  CPPUNIT_TEST(ReportSurvivesTheRoundTrip);
-  CPPUNIT_TEST(TruncatedBytesNeverGiveTheSameTable);
+  CPPUNIT_TEST(TableRoundTripsAndIsSmall);
+  CPPUNIT_TEST(DeltaRoundTripsAndIsSmall);
+  CPPUNIT_TEST(ReportRoundTrips);
+  CPPUNIT_TEST(TruncatedBytesNeverDecodeToTheSameTable);
   CPPUNIT_TEST(ChainThatNamesAnAgentTwiceIsRefused);
   CPPUNIT_TEST(ReportPastItsBucketsIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TableSurvivesTheRoundTripAndIsSmall() {
+  void TableRoundTripsAndIsSmall() {
     const BucketTable table = MakeTable();
     const std::string bytes = EncodeTable(table);
     CPPUNIT_ASSERT(DecodeTable(bytes) == table);
     CPPUNIT_ASSERT(bytes.size() < 1000);
   }
 
-  void DeltaSurvivesTheRoundTripAndIsSmall() {
+  void DeltaRoundTripsAndIsSmall() {
     const BucketTable before = MakeTable();
     BucketTable after = before;
     after.version = {4, 2, 10};
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(bytes.size() < 200);
   }
 
-  void ReportSurvivesTheRoundTrip() {
+  void ReportRoundTrips() {
     AgentReport report;
     report.service = base::ServiceId(77);
     report.node = base::NodeId(5);
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT(report.flows_in_buckets == decoded.flows_in_buckets);
   }
 
-  void TruncatedBytesNeverGiveTheSameTable() {
+  void TruncatedBytesNeverDecodeToTheSameTable() {
     const BucketTable table = MakeTable();
     const std::string bytes = EncodeTable(table);
     for (std::size_t length = 0; length < bytes.size(); ++length) {
--- a/proofs/lease/src/lease_proof.cpp
+++ b/proofs/lease/src/lease_proof.cpp
@@ -69,10 +69,10 @@
         number_(*rc::gen::inRange(0, kNumbers)),
         delivery_(*rc::gen::weightedElement<Delivery>({{12, Delivery::kAnswered},
                                                        {1, Delivery::kRefused},
-                                                       {1, Delivery::kLostBefore},
-                                                       {2, Delivery::kLostAfter},
-                                                       {4, Delivery::kSlowAnswer},
-                                                       {2, Delivery::kLate}})) {}
+                                                       {1, Delivery::kRequestLost},
+                                                       {2, Delivery::kAnswerLost},
+                                                       {4, Delivery::kAnswerDelayed},
+                                                       {2, Delivery::kAppliedLate}})) {}
 
   void checkPreconditions(const Model& model) const override {  // NOLINT: rapidcheck's name
     RC_PRE(model.early_expiry || kind_ != StepKind::kExpireEarly);
@@ -133,7 +133,7 @@
 // What the cases of one property did together.
 struct Totals {
   std::size_t acquisitions = 0;
-  std::size_t actions_taken = 0;
+  std::size_t actions_accepted = 0;
   std::size_t actions_refused = 0;
 };
 
@@ -144,22 +144,22 @@
   rc::state::check(model, world, rc::state::gen::execOneOfWithArgs<Perform>());
   world.Heal();
   totals.acquisitions += world.Acquisitions();
-  totals.actions_taken += world.ActionsTaken();
+  totals.actions_accepted += world.ActionsAccepted();
   totals.actions_refused += world.ActionsRefused();
   if (world.Violation()) {
     RC_FAIL(*world.Violation());
   }
-  RC_ASSERT(world.HoldersThatBelieve() == 1U);
+  RC_ASSERT(world.CountBelievingHolders() == 1U);
 }
 
 testing::Coverage CoverageOf(const Totals& totals) {
   constexpr std::size_t kEnough = 1000;
   std::ostringstream counts;
-  counts << "leases taken " << totals.acquisitions << ", actions taken " << totals.actions_taken
+  counts << "leases taken " << totals.acquisitions << ", actions taken " << totals.actions_accepted
          << ", actions refused " << totals.actions_refused;
-  return {
-      totals.acquisitions > kEnough && totals.actions_taken > kEnough && totals.actions_refused > 0,
-      counts.str()};
+  return {totals.acquisitions > kEnough && totals.actions_accepted > kEnough &&
+              totals.actions_refused > 0,
+          counts.str()};
 }
 
 testing::RegisteredProof Holds(std::string name, const LeaseWorldSettings& settings) {
@@ -188,9 +188,9 @@
 const testing::RegisteredProof without_allowance =
     IsCaught("without_allowance_for_drift", {.assumed_drift = 0}, "believe they hold");
 const testing::RegisteredProof without_gate =
-    IsCaught("without_gate", {.gate_closed = false}, "took an action");
+    IsCaught("without_gate", {.gate_enabled = false}, "took an action");
 const testing::RegisteredProof without_clock =
-    IsCaught("without_asking_the_clock", {.ask_clock = false}, "believe they hold");
+    IsCaught("without_asking_the_clock", {.check_clock = false}, "believe they hold");
 
 }  // namespace
 }  // namespace gaugevalve::proofs
--- a/proofs/lease/src/lease_world.cpp
+++ b/proofs/lease/src/lease_world.cpp
@@ -44,7 +44,7 @@
 void LeaseWorld::AdvanceTime(base::Duration step) {
   now_ += step;
   store_.ExpireLeases(now_);
-  CheckBeliefs();
+  CheckMutualExclusion();
 }
 
 void LeaseWorld::RunAlone(std::size_t holder, base::Duration span, Delivery last) {
@@ -67,7 +67,7 @@
   Holder& chosen = holders_[holder];
   if (!chosen.paused) {
     chosen.core.Tick(LocalTime(chosen));
-    Collect(chosen);
+    CollectRequests(chosen);
   }
 }
 
@@ -79,7 +79,7 @@
   if (!chosen.answers.empty()) {
     const Answer answer = chosen.answers.front();
     chosen.answers.pop_front();
-    return Hand(chosen, answer);
+    return HandleAnswer(chosen, answer);
   }
   if (chosen.requests.empty()) {
     return;
@@ -88,24 +88,24 @@
   chosen.requests.pop_front();
   const Answer answer{request.tag,
                       ResultOf(request.request, outage_ ? Delivery::kRefused : delivery)};
-  if (delivery == Delivery::kSlowAnswer) {
+  if (delivery == Delivery::kAnswerDelayed) {
     chosen.answers.push_back(answer);
   } else {
-    Hand(chosen, answer);
+    HandleAnswer(chosen, answer);
   }
 }
 
 void LeaseWorld::ApplyLateRequest() {
-  if (!late_.empty() && !outage_) {
-    Apply(late_.front());
-    late_.pop_front();
-    CheckBeliefs();
+  if (!late_requests_.empty() && !outage_) {
+    Apply(late_requests_.front());
+    late_requests_.pop_front();
+    CheckMutualExclusion();
   }
 }
 
 void LeaseWorld::Decide(std::size_t holder) {
   const Holder& chosen = holders_[holder];
-  const lease::LeaseView belief = Belief(chosen);
+  const lease::LeaseView belief = CurrentView(chosen);
   if (!chosen.paused && belief.status == lease::LeaseStatus::kHeld) {
     actions_.push_back(belief.token);
   }
@@ -118,8 +118,8 @@
   const auto chosen = actions_.begin() + static_cast<std::ptrdiff_t>(position % actions_.size());
   const lease::FencingToken token = *chosen;
   actions_.erase(chosen);
-  if (gate_.Admit(token) || !settings_.gate_closed) {
-    ++actions_taken_;
+  if (gate_.Admit(token) || !settings_.gate_enabled) {
+    ++actions_accepted_;
     CheckOrder(token);
   } else {
     ++actions_refused_;
@@ -128,13 +128,13 @@
 
 void LeaseWorld::Campaign(std::size_t holder) {
   holders_[holder].core.Campaign(LocalTime(holders_[holder]));
-  Collect(holders_[holder]);
+  CollectRequests(holders_[holder]);
 }
 
 void LeaseWorld::Resign(std::size_t holder) {
   if (!holders_[holder].paused) {
     holders_[holder].core.Resign(LocalTime(holders_[holder]));
-    Collect(holders_[holder]);
+    CollectRequests(holders_[holder]);
   }
 }
 
@@ -160,9 +160,9 @@
   }
 }
 
-std::size_t LeaseWorld::HoldersThatBelieve() const {
+std::size_t LeaseWorld::CountBelievingHolders() const {
   return static_cast<std::size_t>(std::ranges::count_if(holders_, [this](const Holder& holder) {
-    return Belief(holder).status == lease::LeaseStatus::kHeld;
+    return CurrentView(holder).status == lease::LeaseStatus::kHeld;
   }));
 }
 
@@ -172,8 +172,8 @@
          std::chrono::duration_cast<base::Duration>(elapsed * holder.clock_rate);
 }
 
-lease::LeaseView LeaseWorld::Belief(const Holder& holder) const {
-  return settings_.ask_clock ? holder.core.View(LocalTime(holder)) : holder.last_view;
+lease::LeaseView LeaseWorld::CurrentView(const Holder& holder) const {
+  return settings_.check_clock ? holder.core.View(LocalTime(holder)) : holder.last_view;
 }
 
 store::Result LeaseWorld::Apply(const store::Request& request) {
@@ -189,28 +189,28 @@
       store::ChangesStore(request) ? store::Outcome::kUnknown : store::Outcome::kRefused;
   switch (delivery) {
     case Delivery::kAnswered:
-    case Delivery::kSlowAnswer:
+    case Delivery::kAnswerDelayed:
       return Apply(request);
     case Delivery::kRefused:
       return store::Result::Failed(store::Outcome::kRefused, store::Reason::kUnreachable, "");
-    case Delivery::kLate:
-      late_.push_back(request);
+    case Delivery::kAppliedLate:
+      late_requests_.push_back(request);
       break;
-    case Delivery::kLostAfter:
+    case Delivery::kAnswerLost:
       Apply(request);
       break;
-    case Delivery::kLostBefore:
+    case Delivery::kRequestLost:
       break;
   }
   return store::Result::Failed(unknown, store::Reason::kConnectionLost, "");
 }
 
-void LeaseWorld::Hand(Holder& holder, const Answer& answer) {
+void LeaseWorld::HandleAnswer(Holder& holder, const Answer& answer) {
   holder.core.OnResult(answer.tag, answer.result, LocalTime(holder));
-  Collect(holder);
+  CollectRequests(holder);
 }
 
-void LeaseWorld::Collect(Holder& holder) {
+void LeaseWorld::CollectRequests(Holder& holder) {
   for (lease::LeaseRequest& request : holder.core.TakeRequests()) {
     holder.requests.push_back(std::move(request));
   }
@@ -220,33 +220,33 @@
     ++acquisitions_;
     holder.last_token = token;
   }
-  CheckBeliefs();
+  CheckMutualExclusion();
 }
 
-void LeaseWorld::CheckBeliefs() {
+void LeaseWorld::CheckMutualExclusion() {
   if (settings_.early_expiry) {
     return;  // then only the gate is left to keep order
   }
   std::ostringstream words;
   for (std::size_t index = 0; index < kHolders; ++index) {
-    const lease::LeaseView belief = Belief(holders_[index]);
+    const lease::LeaseView belief = CurrentView(holders_[index]);
     if (belief.status == lease::LeaseStatus::kHeld) {
       words << " holder " << index << " with token " << belief.token;
     }
   }
-  if (HoldersThatBelieve() > 1) {
+  if (CountBelievingHolders() > 1) {
     Fail("at one instant these believe they hold:" + words.str());
   }
 }
 
 void LeaseWorld::CheckOrder(lease::FencingToken token) {
-  if (token < newest_taken_) {
+  if (token < newest_accepted_) {
     std::ostringstream words;
     words << "the resource took an action with token " << token << " after one with "
-          << newest_taken_;
+          << newest_accepted_;
     Fail(words.str());
   }
-  newest_taken_ = std::max(newest_taken_, token);
+  newest_accepted_ = std::max(newest_accepted_, token);
 }
 
 void LeaseWorld::Fail(std::string words) {
--- a/proofs/lease/src/lease_world.h
+++ b/proofs/lease/src/lease_world.h
@@ -19,19 +19,19 @@
 struct LeaseWorldSettings {
   double true_drift = 0.05;     // how far the holders' clocks really are from the store's
   double assumed_drift = 0.05;  // what the holders are told
-  bool gate_closed = true;      // false: the resource takes every action
-  bool ask_clock = true;        // false: holders act on what they believed at their last step
+  bool gate_enabled = true;     // false: the resource takes every action
+  bool check_clock = true;      // false: holders act on what they believed at their last step
   bool early_expiry = false;    // true: the platform may end leases before their time
 };
 
 // How a request to the store ends.
 enum class Delivery : std::uint8_t {
   kAnswered,
-  kRefused,     // not applied, and the holder is told so
-  kLostBefore,  // not applied, the holder doesn't know
-  kLostAfter,   // applied, the holder doesn't know
-  kSlowAnswer,  // applied now, answered at a later step
-  kLate,        // the holder doesn't know; applied some time later
+  kRefused,        // not applied, and the holder is told so
+  kRequestLost,    // not applied, the holder doesn't know
+  kAnswerLost,     // applied, the holder doesn't know
+  kAnswerDelayed,  // applied now, answered at a later step
+  kAppliedLate,    // the holder doesn't know; applied some time later
 };
 
 // Runs the real LeaseHolder cores. Every method is one step that an adversary may choose.
@@ -62,9 +62,9 @@
   // Returns what the oracle has seen go wrong; nothing while all is well.
   const std::optional<std::string>& Violation() const { return violation_; }
 
-  std::size_t HoldersThatBelieve() const;
+  std::size_t CountBelievingHolders() const;
   std::size_t Acquisitions() const { return acquisitions_; }
-  std::size_t ActionsTaken() const { return actions_taken_; }
+  std::size_t ActionsAccepted() const { return actions_accepted_; }
   std::size_t ActionsRefused() const { return actions_refused_; }
 
  private:
@@ -85,12 +85,12 @@
   };
 
   base::TimePoint LocalTime(const Holder& holder) const;
-  lease::LeaseView Belief(const Holder& holder) const;
+  lease::LeaseView CurrentView(const Holder& holder) const;
   store::Result Apply(const store::Request& request);
   store::Result ResultOf(const store::Request& request, Delivery delivery);
-  void Hand(Holder& holder, const Answer& answer);
-  void Collect(Holder& holder);
-  void CheckBeliefs();
+  void HandleAnswer(Holder& holder, const Answer& answer);
+  void CollectRequests(Holder& holder);
+  void CheckMutualExclusion();
   void CheckOrder(lease::FencingToken token);
   void Fail(std::string words);
 
@@ -98,13 +98,13 @@
   base::TimePoint now_{};  // the store's time line
   standins::MvccStore store_;
   std::vector<Holder> holders_;
-  std::deque<store::Request> late_;
+  std::deque<store::Request> late_requests_;
   std::vector<lease::FencingToken> actions_;  // on their way to the resource
   lease::FencingGate gate_;
-  lease::FencingToken newest_taken_{};
+  lease::FencingToken newest_accepted_{};
   bool outage_ = false;
   std::size_t acquisitions_ = 0;
-  std::size_t actions_taken_ = 0;
+  std::size_t actions_accepted_ = 0;
   std::size_t actions_refused_ = 0;
   std::optional<std::string> violation_;
 };
--- a/proofs/routing/planner_fleet.cpp
+++ b/proofs/routing/planner_fleet.cpp
@@ -44,13 +44,13 @@
     routing::AgentStatus status;
     status.entry.node = NodeOf(agent);
     status.entry.incarnation = agents_[agent].incarnation;
-    told_.push_back(status);
+    membership_view_.push_back(status);
   }
   MakePlanner();
-  TellPlanner();
+  UpdatePlannerAgents();
   Step(0);
   for (std::uint32_t agent = 0; agent < kAgents; ++agent) {
-    GiveTable(agent, 0);
+    DeliverTable(agent, 0);
   }
 }
 
@@ -68,11 +68,11 @@
   planner_->SetMechanisms(mechanisms_);
 }
 
-void PlannerFleet::TellPlanner() { planner_->SetAgents(told_, now_); }
+void PlannerFleet::UpdatePlannerAgents() { planner_->SetAgents(membership_view_, now_); }
 
-void PlannerFleet::Blame(const std::string& what) {
-  if (fault_.empty()) {
-    fault_ = what;
+void PlannerFleet::RecordViolation(const std::string& what) {
+  if (violation_.empty()) {
+    violation_ = what;
   }
 }
 
@@ -88,27 +88,27 @@
   agents_[agent % kAgents].flows[bucket % kBuckets] = 0;
 }
 
-void PlannerFleet::GiveTable(std::uint32_t agent, std::uint32_t age) {
+void PlannerFleet::DeliverTable(std::uint32_t agent, std::uint32_t age) {
   if (published_.empty()) {
     return;
   }
   const BucketTable& table = published_[published_.size() - 1 - age % published_.size()];
-  Agent& taker = agents_[agent % kAgents];
-  if (table.version < taker.table_version) {
+  Agent& recipient = agents_[agent % kAgents];
+  if (table.version < recipient.table_version) {
     return;
   }
   for (std::size_t index = 0; index < kBuckets; ++index) {
-    if (table.buckets[index].version >= taker.entries[index].version) {
-      taker.entries[index] = table.buckets[index];
+    if (table.buckets[index].version >= recipient.entries[index].version) {
+      recipient.entries[index] = table.buckets[index];
     }
   }
-  taker.table_version = table.version;
+  recipient.table_version = table.version;
   const routing::AgentEntry* const self = table.FindAgent(NodeOf(agent % kAgents));
-  taker.is_listed = self != nullptr && self->incarnation >= taker.incarnation;
+  recipient.is_listed = self != nullptr && self->incarnation >= recipient.incarnation;
 }
 
 // A datagram brings the newest entry of one bucket, and no table.
-void PlannerFleet::GiveEntry(std::uint32_t agent, std::uint32_t bucket) {
+void PlannerFleet::DeliverEntry(std::uint32_t agent, std::uint32_t bucket) {
   const std::size_t index = bucket % kBuckets;
   Bucket& known = agents_[agent % kAgents].entries[index];
   for (const BucketTable& table : published_) {
@@ -118,7 +118,7 @@
   }
 }
 
-routing::AgentReport PlannerFleet::HonestReport(std::size_t agent, std::uint32_t busy) const {
+routing::AgentReport PlannerFleet::MakeTrueReport(std::size_t agent, std::uint32_t busy) const {
   const Agent& reporter = agents_[agent];
   routing::AgentReport report;
   report.service = kService;
@@ -136,7 +136,7 @@
 }
 
 void PlannerFleet::SendReport(std::uint32_t agent, std::uint32_t busy) {
-  Send(agent % kAgents, HonestReport(agent % kAgents, busy));
+  Send(agent % kAgents, MakeTrueReport(agent % kAgents, busy));
 }
 
 void PlannerFleet::Send(std::size_t agent, routing::AgentReport report) {
@@ -146,16 +146,17 @@
   reports_.push_back({std::move(report), now_, flows});
 }
 
-void PlannerFleet::SendLie(std::uint32_t seed) {
-  routing::AgentReport lie = HonestReport(kLiar, seed);
+void PlannerFleet::SendFalseReport(std::uint32_t seed) {
+  routing::AgentReport false_report = MakeTrueReport(kFalseReporter, seed);
   for (std::size_t index = 0; index < kBuckets; ++index) {
-    lie.flows_in_buckets[index] = (seed >> (index % 16)) % 2 == 0 ? 0 : seed;
+    false_report.flows_in_buckets[index] = (seed >> (index % 16)) % 2 == 0 ? 0 : seed;
   }
-  lie.queued_requests = seed;
-  lie.endpoint_failures = seed;
-  lie.table_version.sequence += seed % 3;
-  lie.state = seed % 5 == 0 ? routing::AgentState::kDraining : routing::AgentState::kServing;
-  Send(kLiar, std::move(lie));
+  false_report.queued_requests = seed;
+  false_report.endpoint_failures = seed;
+  false_report.table_version.sequence += seed % 3;
+  false_report.state =
+      seed % 5 == 0 ? routing::AgentState::kDraining : routing::AgentState::kServing;
+  Send(kFalseReporter, std::move(false_report));
 }
 
 void PlannerFleet::DeliverReport(std::uint32_t position) {
@@ -173,7 +174,7 @@
   if (outcome != routing::ReportOutcome::kTaken) {
     return;
   }
-  CheckPicture(sent);
+  CheckPlannerFlowCounts(sent);
   if (report.state == routing::AgentState::kDraining) {
     draining_.insert(report.node);
   } else {
@@ -199,15 +200,15 @@
 
 // What the planner has of an agent is what the agent had when it sent the report: which buckets are
 // empty exactly, and the counts roughly.
-void PlannerFleet::CheckPicture(const SentReport& sent) {
+void PlannerFleet::CheckPlannerFlowCounts(const SentReport& sent) {
   const routing::AgentReport* newest = planner_->NewestReport(sent.report.node);
-  const std::vector<std::uint32_t>& picture = newest->flows_in_buckets;
+  const std::vector<std::uint32_t>& known_counts = newest->flows_in_buckets;
   for (std::size_t index = 0; index < kBuckets; ++index) {
     const std::uint32_t flows = sent.flows[index];
-    const std::uint32_t known = picture.size() == kBuckets ? picture[index] : 0;
+    const std::uint32_t known = known_counts.size() == kBuckets ? known_counts[index] : 0;
     const bool is_near = flows <= known + known / 2 + 1 && known <= 2 * flows + 2;
     if ((flows == 0) != (known == 0) || !is_near) {
-      Blame("the planner's picture of an agent's flows is wrong");
+      RecordViolation("the planner's picture of an agent's flows is wrong");
     }
   }
 }
@@ -241,47 +242,47 @@
   }
 }
 
-void PlannerFleet::TellStanding(std::uint32_t agent, std::uint32_t standing) {
-  constexpr std::uint32_t kStandings = 3;
-  routing::AgentStatus& status = told_[agent % kAgents];
+void PlannerFleet::SetLiveness(std::uint32_t agent, std::uint32_t standing) {
+  constexpr std::uint32_t kLivenessValues = 3;
+  routing::AgentStatus& status = membership_view_[agent % kAgents];
   const base::Incarnation life = agents_[agent % kAgents].incarnation;
   const bool was_dead =
       status.standing == routing::AgentStanding::kDead && status.entry.incarnation == life;
-  status.standing = static_cast<routing::AgentStanding>(standing % kStandings);
+  status.standing = static_cast<routing::AgentStanding>(standing % kLivenessValues);
   status.entry.incarnation = life;
   if (!was_dead) {
-    told_dead_at_[agent % kAgents] = now_;
+    declared_dead_at_[agent % kAgents] = now_;
   }
-  TellPlanner();
+  UpdatePlannerAgents();
 }
 
-void PlannerFleet::TellDead(std::uint32_t agent) {
-  TellStanding(agent, static_cast<std::uint32_t>(routing::AgentStanding::kDead));
+void PlannerFleet::DeclareDead(std::uint32_t agent) {
+  SetLiveness(agent, static_cast<std::uint32_t>(routing::AgentStanding::kDead));
 }
 
 // What it held ends with it, and it opens nothing any more; it comes back as another life.
-void PlannerFleet::SayFarewell(std::uint32_t agent) {
+void PlannerFleet::LeaveGracefully(std::uint32_t agent) {
   Agent& leaver = agents_[agent % kAgents];
   const base::Incarnation last = leaver.incarnation;
   planner_->NoteFarewell(NodeOf(agent % kAgents), last);
   leaver = MakeLife(base::Incarnation(last.value() + 1));
-  routing::AgentStatus& status = told_[agent % kAgents];
+  routing::AgentStatus& status = membership_view_[agent % kAgents];
   if (status.standing != routing::AgentStanding::kDead) {
-    told_dead_at_[agent % kAgents] = now_;
+    declared_dead_at_[agent % kAgents] = now_;
   }
   status.standing = routing::AgentStanding::kDead;
   draining_.erase(NodeOf(agent % kAgents));
-  TellPlanner();
+  UpdatePlannerAgents();
 }
 
 void PlannerFleet::Restart(std::uint32_t agent) {
   Agent& restarted = agents_[agent % kAgents];
   const base::Incarnation next(restarted.incarnation.value() + 1);
   restarted = MakeLife(next);
-  told_[agent % kAgents].entry.incarnation = next;
-  told_dead_at_[agent % kAgents] = now_;     // if it is told dead, then of this life from now on
-  draining_.erase(NodeOf(agent % kAgents));  // the planner forgets a former life's report
-  TellPlanner();
+  membership_view_[agent % kAgents].entry.incarnation = next;
+  declared_dead_at_[agent % kAgents] = now_;  // if it is told dead, then of this life from now on
+  draining_.erase(NodeOf(agent % kAgents));   // the planner forgets a former life's report
+  UpdatePlannerAgents();
 }
 
 void PlannerFleet::TakeOver(std::uint32_t age) {
@@ -294,8 +295,8 @@
   planner_->TakeOver(table);
   draining_.clear();
   moves_.clear();  // the bound is each planner's own
-  told_dead_at_.fill(now_);
-  TellPlanner();
+  declared_dead_at_.fill(now_);
+  UpdatePlannerAgents();
 }
 
 void PlannerFleet::Step(std::uint32_t milliseconds) {
@@ -308,14 +309,15 @@
   }
 }
 
-bool PlannerFleet::IsToldAlive(base::NodeId node) const {
-  return node != base::NodeId() && told_[AgentOf(node)].standing != routing::AgentStanding::kDead;
+bool PlannerFleet::IsDeclaredAlive(base::NodeId node) const {
+  return node != base::NodeId() &&
+         membership_view_[AgentOf(node)].standing != routing::AgentStanding::kDead;
 }
 
 // A dead agent's buckets may wait for this long, and not longer.
 bool PlannerFleet::IsHeld(base::NodeId node) const {
-  return node != base::NodeId() && !IsToldAlive(node) &&
-         now_ < told_dead_at_[AgentOf(node)] + routing::kDeadAgentHold;
+  return node != base::NodeId() && !IsDeclaredAlive(node) &&
+         now_ < declared_dead_at_[AgentOf(node)] + routing::kDeadAgentHold;
 }
 
 // By its clock and its table, whatever others say of it.
@@ -325,10 +327,10 @@
 
 bool PlannerFleet::MayOwn(base::NodeId node) const {
   return node != base::NodeId() && !draining_.contains(node) &&
-         told_[AgentOf(node)].standing == routing::AgentStanding::kLive;
+         membership_view_[AgentOf(node)].standing == routing::AgentStanding::kLive;
 }
 
-bool PlannerFleet::AnybodyMayOwn() const {
+bool PlannerFleet::AnyAgentMayOwn() const {
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
     if (MayOwn(NodeOf(agent))) {
       return true;
@@ -340,14 +342,14 @@
 void PlannerFleet::Check(const BucketTable& before, const routing::TableDelta& delta) {
   const BucketTable& after = planner_->Table();
   if (delta.version <= before.version) {
-    Blame("the version didn't grow");
+    RecordViolation("the version didn't grow");
   }
   BucketTable applied = before;
   if (!applied.Apply(delta) || applied != after) {
-    Blame("the delta doesn't make the planner's table");
+    RecordViolation("the delta doesn't make the planner's table");
   }
-  if (!AnybodyMayOwn()) {
-    Blame("the last table should have stayed");
+  if (!AnyAgentMayOwn()) {
+    RecordViolation("the last table should have stayed");
   }
   for (std::size_t index = 0; index < kBuckets; ++index) {
     CheckBucket(index, before.buckets[index], after.buckets[index]);
@@ -360,43 +362,43 @@
   const std::set<base::NodeId> distinct(chain.begin(), chain.end());
   if (chain.size() > routing::kMaxPreviousOwners || distinct.size() != chain.size() ||
       distinct.contains(after.owner)) {
-    Blame("a chain is too long or names an agent twice");
+    RecordViolation("a chain is too long or names an agent twice");
   }
   for (const base::NodeId node : chain) {
-    const bool may_be_named = IsToldAlive(node) || IsHeld(node);
+    const bool may_be_named = IsDeclaredAlive(node) || IsHeld(node);
     if (!may_be_named || planner_->Table().FindAgent(node) == nullptr) {
-      Blame("a chain names a dead agent");
+      RecordViolation("a chain names a dead agent");
     }
   }
   const bool chain_blocks =
-      IsToldAlive(after.owner) && chain.size() == routing::kMaxPreviousOwners &&
+      IsDeclaredAlive(after.owner) && chain.size() == routing::kMaxPreviousOwners &&
       std::none_of(chain.begin(), chain.end(), [&](base::NodeId node) { return MayOwn(node); });
   if (!MayOwn(after.owner) && !chain_blocks && !IsHeld(after.owner)) {
-    Blame("a bucket's owner isn't live");
+    RecordViolation("a bucket's owner isn't live");
   }
   if (IsHeld(after.owner) && after.owner != before.owner) {
-    Blame("a bucket was given to a dead agent");
+    RecordViolation("a bucket was given to a dead agent");
   }
   const bool changed = before.owner != after.owner || before.previous_owners != chain;
   if (changed && after.version != planner_->Table().version) {
-    Blame("a changed bucket has an old version");
+    RecordViolation("a changed bucket has an old version");
   }
   CheckDropped(index, before, after);
-  CheckTakenFromDead(index, before, after);
+  CheckReassignedFromDead(index, before, after);
 }
 
 // An agent that is cut off from control goes on as the owner that it was, until its table is too
 // old. Another life of it, or its farewell, has forgotten its entries.
-void PlannerFleet::CheckTakenFromDead(std::size_t index, const Bucket& before,
-                                      const Bucket& after) {
+void PlannerFleet::CheckReassignedFromDead(std::size_t index, const Bucket& before,
+                                           const Bucket& after) {
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
     const base::NodeId node = NodeOf(agent);
     const bool given_away = before.owner == node && after.owner != node;
     // The liar may have said that it knows the entry which leaves it out.
-    const bool dropped = agent != kLiar && Names(before, node) && !Names(after, node);
+    const bool dropped = agent != kFalseReporter && Names(before, node) && !Names(after, node);
     const bool opens = agents_[agent].entries[index].owner == node && MayOpen(agent);
-    if (!IsToldAlive(node) && (given_away || dropped) && opens) {
-      Blame("an agent that still opens flows was taken for dead");
+    if (!IsDeclaredAlive(node) && (given_away || dropped) && opens) {
+      RecordViolation("an agent that still opens flows was taken for dead");
     }
   }
 }
@@ -406,14 +408,14 @@
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
     const base::NodeId node = NodeOf(agent);
     const bool dropped = Names(before, node) && !Names(after, node);
-    if (agent == kLiar || !dropped || !IsToldAlive(node)) {
+    if (agent == kFalseReporter || !dropped || !IsDeclaredAlive(node)) {
       continue;
     }
     if (agents_[agent].flows[index] > 0) {
-      Blame("an agent with flows was dropped from a bucket");
+      RecordViolation("an agent with flows was dropped from a bucket");
     }
     if (agents_[agent].entries[index].owner == node) {
-      Blame("an agent that still opens flows was dropped from a bucket");
+      RecordViolation("an agent that still opens flows was dropped from a bucket");
     }
   }
 }
@@ -435,18 +437,18 @@
   }
   // What was saved up in one minute and what comes in during the next.
   if (count > settings_.max_moves_per_step || in_a_minute > 2 * settings_.max_moves_per_minute) {
-    Blame("more buckets moved than the bounds allow");
+    RecordViolation("more buckets moved than the bounds allow");
   }
 }
 
-void PlannerFleet::ComeToRest() {
+void PlannerFleet::RunUntilStable() {
   constexpr int kSteps = 240;
   constexpr std::uint32_t kStepMilliseconds = 1000;
   reports_.clear();
   answers_.clear();
   for (int step = 0; step < kSteps; ++step) {
     for (std::uint32_t agent = 0; agent < kAgents; ++agent) {
-      GiveTable(agent, 0);
+      DeliverTable(agent, 0);
       SendReport(agent, agent);
       DeliverReport(0);
       DeliverAnswer(0);
@@ -455,21 +457,21 @@
   }
 }
 
-std::string PlannerFleet::FaultAtRest() const {
+std::string PlannerFleet::ViolationWhenStable() const {
   const BucketTable& table = planner_->Table();
   for (std::size_t index = 0; index < kBuckets; ++index) {
     for (std::size_t agent = 0; agent < kAgents; ++agent) {
       const Bucket& bucket = table.buckets[index];
       const base::NodeId node = NodeOf(agent);
       const bool has_room = bucket.previous_owners.size() < routing::kMaxPreviousOwners;
-      const bool holds = agents_[agent].flows[index] > 0 && IsToldAlive(node);
-      if (AnybodyMayOwn() && holds && !Names(bucket, node) && has_room) {
+      const bool holds = agents_[agent].flows[index] > 0 && IsDeclaredAlive(node);
+      if (AnyAgentMayOwn() && holds && !Names(bucket, node) && has_room) {
         return "an agent with flows isn't named at rest";
       }
     }
   }
-  constexpr auto kQuiet = std::chrono::seconds(60);
-  if (!moves_.empty() && moves_.back().at > now_ - kQuiet && moves_.back().count > 0) {
+  constexpr auto kStablePeriod = std::chrono::seconds(60);
+  if (!moves_.empty() && moves_.back().at > now_ - kStablePeriod && moves_.back().count > 0) {
     return "buckets still move although nothing changes";
   }
   return {};
--- a/proofs/routing/planner_fleet.h
+++ b/proofs/routing/planner_fleet.h
@@ -24,7 +24,7 @@
  public:
   static constexpr std::size_t kAgents = 7;
   static constexpr std::size_t kBuckets = 24;
-  static constexpr std::size_t kLiar = 0;  // the agent whose reports may be false
+  static constexpr std::size_t kFalseReporter = 0;  // the agent whose reports may be false
 
   // `make_policies` makes the rules of each planner in turn.
   using PolicyMaker = routing::PlannerPolicies (*)(const routing::PlannerSettings&);
@@ -34,30 +34,30 @@
   // Events.
   void OpenFlow(std::uint32_t agent, std::uint32_t bucket);
   void CloseFlows(std::uint32_t agent, std::uint32_t bucket);
-  void GiveTable(std::uint32_t agent, std::uint32_t age);
-  void GiveEntry(std::uint32_t agent, std::uint32_t bucket);
+  void DeliverTable(std::uint32_t agent, std::uint32_t age);
+  void DeliverEntry(std::uint32_t agent, std::uint32_t bucket);
   void SendReport(std::uint32_t agent, std::uint32_t busy);
-  void SendLie(std::uint32_t seed);
+  void SendFalseReport(std::uint32_t seed);
   void DeliverReport(std::uint32_t position);
   void RepeatReport(std::uint32_t position);
   void LoseReport(std::uint32_t position);
   void DeliverAnswer(std::uint32_t position);
   void LoseAnswer(std::uint32_t position);
-  void TellStanding(std::uint32_t agent, std::uint32_t standing);
-  void TellDead(std::uint32_t agent);     // whatever is true: it may only be cut off from control
-  void SayFarewell(std::uint32_t agent);  // it ends, and says so
+  void SetLiveness(std::uint32_t agent, std::uint32_t standing);
+  void DeclareDead(std::uint32_t agent);  // whatever is true: it may only be cut off from control
+  void LeaveGracefully(std::uint32_t agent);  // it ends, and says so
   void Restart(std::uint32_t agent);
   void TakeOver(std::uint32_t age);
   void Step(std::uint32_t milliseconds);
 
   // Lets everything arrive and nothing happen, until a planner must have come to rest.
-  void ComeToRest();
+  void RunUntilStable();
 
   // Returns what is wrong since the start; empty when nothing is.
-  const std::string& Fault() const { return fault_; }
+  const std::string& Violation() const { return violation_; }
 
   // Returns what is wrong with a fleet at rest; empty when nothing is.
-  std::string FaultAtRest() const;
+  std::string ViolationWhenStable() const;
 
  private:
   struct Agent {
@@ -93,24 +93,24 @@
   };
 
   void MakePlanner();
-  void TellPlanner();
-  routing::AgentReport HonestReport(std::size_t agent, std::uint32_t busy) const;
+  void UpdatePlannerAgents();
+  routing::AgentReport MakeTrueReport(std::size_t agent, std::uint32_t busy) const;
   Agent MakeLife(base::Incarnation incarnation) const;
   void Send(std::size_t agent, routing::AgentReport report);
   void Answer(const SentReport& sent, routing::ReportOutcome outcome);
-  void CheckPicture(const SentReport& sent);
+  void CheckPlannerFlowCounts(const SentReport& sent);
   bool MayOwn(base::NodeId node) const;
-  bool IsToldAlive(base::NodeId node) const;
+  bool IsDeclaredAlive(base::NodeId node) const;
   bool IsHeld(base::NodeId node) const;
   bool MayOpen(std::size_t agent) const;
-  bool AnybodyMayOwn() const;
+  bool AnyAgentMayOwn() const;
   void Check(const routing::BucketTable& before, const routing::TableDelta& delta);
   void CheckBucket(std::size_t index, const routing::Bucket& before, const routing::Bucket& after);
   void CheckMoves(const routing::BucketTable& before, const routing::BucketTable& after);
   void CheckDropped(std::size_t index, const routing::Bucket& before, const routing::Bucket& after);
-  void CheckTakenFromDead(std::size_t index, const routing::Bucket& before,
-                          const routing::Bucket& after);
-  void Blame(const std::string& what);
+  void CheckReassignedFromDead(std::size_t index, const routing::Bucket& before,
+                               const routing::Bucket& after);
+  void RecordViolation(const std::string& what);
 
   routing::PlannerMechanisms mechanisms_;
   PolicyMaker make_policies_;
@@ -120,14 +120,14 @@
   std::uint32_t generation_ = 0;
   std::unique_ptr<routing::ServicePlanner> planner_;
   std::array<Agent, kAgents> agents_;
-  std::vector<routing::AgentStatus> told_;               // what membership says
-  std::set<base::NodeId> draining_;                      // by the last report that the planner took
-  std::array<base::TimePoint, kAgents> told_dead_at_{};  // or the take-over since
+  std::vector<routing::AgentStatus> membership_view_;  // what membership says
+  std::set<base::NodeId> draining_;                    // by the last report that the planner took
+  std::array<base::TimePoint, kAgents> declared_dead_at_{};  // or the take-over since
   std::deque<SentReport> reports_;
   std::deque<SentAnswer> answers_;
   std::vector<routing::BucketTable> published_;
   std::deque<Moves> moves_;
-  std::string fault_;
+  std::string violation_;
 };
 
 }  // namespace gaugevalve::proofs
--- a/proofs/routing/routing_proof.cpp
+++ b/proofs/routing/routing_proof.cpp
@@ -36,7 +36,7 @@
 
   void run(const NoModel& /*model*/, PlannerFleet& fleet) const override {
     Apply(fleet);
-    RC_ASSERT(fleet.Fault() == "");
+    RC_ASSERT(fleet.Violation() == "");
   }
 
   void show(std::ostream& stream) const override {
@@ -55,29 +55,29 @@
         return fleet.CloseFlows(first, second);
       case 4:
       case 5:
-        return fleet.GiveTable(first, 0);
+        return fleet.DeliverTable(first, 0);
       case 6:
-        return fleet.GiveTable(first, second);
+        return fleet.DeliverTable(first, second);
       case 7:
-        return fleet.GiveEntry(first, second);
+        return fleet.DeliverEntry(first, second);
       case 8:
       case 9:
       case 10:
         return fleet.SendReport(first, second);
       case 11:
-        return fleet.SendLie(first * second);
+        return fleet.SendFalseReport(first * second);
       case 12:
       case 13:
       case 14:
         return fleet.DeliverReport(first);
       case 15:
-        return fleet.TellStanding(first, second);
+        return fleet.SetLiveness(first, second);
       case 16:
         return second < 16 ? fleet.Restart(first) : fleet.Step(kShortStep);
       case 17:
         return second < 16 ? fleet.TakeOver(first) : fleet.Step(kShortStep);
       case 18:
-        return second < 48 ? fleet.TellDead(first) : fleet.SayFarewell(first);
+        return second < 48 ? fleet.DeclareDead(first) : fleet.LeaveGracefully(first);
       case 19:
       case 20:
         return fleet.DeliverAnswer(first);
@@ -91,8 +91,9 @@
   }
 };
 
-void KeepsItsRules(const PlannerMechanisms& mechanisms, PlannerFleet::PolicyMaker make_policies,
-                   const routing::FlowDigestMechanisms& digest_mechanisms = {}) {
+void CheckPlannerInvariants(const PlannerMechanisms& mechanisms,
+                            PlannerFleet::PolicyMaker make_policies,
+                            const routing::FlowDigestMechanisms& digest_mechanisms = {}) {
   PlannerFleet fleet(mechanisms, make_policies, digest_mechanisms);
   rc::state::check(NoModel(), fleet, [](const NoModel& /*model*/) {
     return rc::gen::exec([] {
@@ -100,13 +101,13 @@
           std::make_shared<Event>());
     });
   });
-  fleet.ComeToRest();
-  RC_ASSERT(fleet.Fault() == "");
-  RC_ASSERT(fleet.FaultAtRest() == "");
+  fleet.RunUntilStable();
+  RC_ASSERT(fleet.Violation() == "");
+  RC_ASSERT(fleet.ViolationWhenStable() == "");
 }
 
 // Moves buckets whatever their chains.
-class CarelessAssignment final : public routing::AssignmentPolicy {
+class ChainIgnoringAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
                              std::span<const routing::AssignmentBucket> buckets,
@@ -123,7 +124,7 @@
 };
 
 // Moves all it likes at once.
-class HastyAssignment final : public routing::AssignmentPolicy {
+class UnboundedAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
                              std::span<const routing::AssignmentBucket> buckets,
@@ -136,7 +137,7 @@
 };
 
 // Gives a bucket to any agent of the table, live or not.
-class BlindAssignment final : public routing::AssignmentPolicy {
+class LeavingOwnerKeepingAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
                              std::span<const routing::AssignmentBucket> buckets,
@@ -160,7 +161,7 @@
 }
 
 // Never more agents out than the cap allows, however they fail and come and go.
-void EjectsNoMoreThan(double cap_used) {
+void CheckEjectionCap(double cap_used) {
   constexpr double kCap = 0.34;
   routing::OutlierEjection ejection(0.5, std::chrono::seconds(30), cap_used);
   base::TimePoint now{};
@@ -180,68 +181,73 @@
   }
 }
 
-const RegisteredProof planner_rules("planner_keeps_its_rules", ProofKind::kHolds, [] {
-  KeepsItsRules(PlannerMechanisms(), routing::MakePlannerPolicies);
+const RegisteredProof planner_invariants("planner_keeps_its_rules", ProofKind::kHolds, [] {
+  CheckPlannerInvariants(PlannerMechanisms(), routing::MakePlannerPolicies);
 });
 
 const RegisteredProof ejection_cap("ejection_keeps_its_cap", ProofKind::kHolds,
-                                   [] { EjectsNoMoreThan(0.34); });
+                                   [] { CheckEjectionCap(0.34); });
 
 const RegisteredProof mutant_keep("without_keeping_the_previous_owner", ProofKind::kMutantIsCaught,
                                   [] {
                                     PlannerMechanisms mechanisms;
                                     mechanisms.keep_previous_owner = false;
-                                    KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+                                    CheckPlannerInvariants(mechanisms,
+                                                           routing::MakePlannerPolicies);
                                   });
 
 const RegisteredProof mutant_reports("without_current_reports", ProofKind::kMutantIsCaught, [] {
   PlannerMechanisms mechanisms;
   mechanisms.current_reports_only = false;
-  KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+  CheckPlannerInvariants(mechanisms, routing::MakePlannerPolicies);
 });
 
 const RegisteredProof mutant_restore("without_restoring_holders", ProofKind::kMutantIsCaught, [] {
   PlannerMechanisms mechanisms;
-  mechanisms.restore_holders = false;
-  KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+  mechanisms.restore_flow_holders = false;
+  CheckPlannerInvariants(mechanisms, routing::MakePlannerPolicies);
 });
 
 const RegisteredProof mutant_stamp("without_starting_over_on_take_over", ProofKind::kMutantIsCaught,
                                    [] {
                                      PlannerMechanisms mechanisms;
-                                     mechanisms.start_over_on_take_over = false;
-                                     KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+                                     mechanisms.restamp_on_take_over = false;
+                                     CheckPlannerInvariants(mechanisms,
+                                                            routing::MakePlannerPolicies);
                                    });
 
 const RegisteredProof mutant_hold("without_holding_buckets_of_the_dead", ProofKind::kMutantIsCaught,
                                   [] {
                                     PlannerMechanisms mechanisms;
-                                    mechanisms.hold_buckets_of_the_dead = false;
-                                    KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+                                    mechanisms.hold_dead_agent_buckets = false;
+                                    CheckPlannerInvariants(mechanisms,
+                                                           routing::MakePlannerPolicies);
                                   });
 
 const RegisteredProof mutant_digest("without_repeating_unanswered_flows",
                                     ProofKind::kMutantIsCaught, [] {
                                       routing::FlowDigestMechanisms mechanisms;
                                       mechanisms.repeat_unanswered = false;
-                                      KeepsItsRules(PlannerMechanisms(),
-                                                    routing::MakePlannerPolicies, mechanisms);
+                                      CheckPlannerInvariants(PlannerMechanisms(),
+                                                             routing::MakePlannerPolicies,
+                                                             mechanisms);
                                     });
 
-const RegisteredProof mutant_careless("careless_of_chains", ProofKind::kMutantIsCaught, [] {
-  KeepsItsRules(PlannerMechanisms(), WithAssignment<CarelessAssignment>);
+const RegisteredProof mutant_chains_ignored("careless_of_chains", ProofKind::kMutantIsCaught, [] {
+  CheckPlannerInvariants(PlannerMechanisms(), WithAssignment<ChainIgnoringAssignment>);
 });
 
-const RegisteredProof mutant_hasty("hasty_moves", ProofKind::kMutantIsCaught, [] {
-  KeepsItsRules(PlannerMechanisms(), WithAssignment<HastyAssignment>);
+const RegisteredProof mutant_unbounded_moves("hasty_moves", ProofKind::kMutantIsCaught, [] {
+  CheckPlannerInvariants(PlannerMechanisms(), WithAssignment<UnboundedAssignment>);
 });
 
-const RegisteredProof mutant_blind("leaving_owners_stay", ProofKind::kMutantIsCaught, [] {
-  KeepsItsRules(PlannerMechanisms(), WithAssignment<BlindAssignment>);
-});
+const RegisteredProof mutant_leaving_owners_stay(
+    "leaving_owners_stay", ProofKind::kMutantIsCaught, [] {
+      CheckPlannerInvariants(PlannerMechanisms(), WithAssignment<LeavingOwnerKeepingAssignment>);
+    });
 
 const RegisteredProof mutant_cap("ejection_without_cap", ProofKind::kMutantIsCaught,
-                                 [] { EjectsNoMoreThan(1.0); });
+                                 [] { CheckEjectionCap(1.0); });
 
 }  // namespace
 }  // namespace gaugevalve::proofs
