--- a/libs/routing/src/dead_agent_hold.cpp
+++ b/libs/routing/src/dead_agent_hold.cpp
@@ -16,7 +16,7 @@
 bool MayStillRun(const AgentEntry& agent, const AgentStatus* status) {
   const bool is_other_incarnation =
       status != nullptr && status->entry.incarnation != agent.incarnation;
-  const bool is_there = status != nullptr && status->standing != AgentStanding::kDead;
+  const bool is_there = status != nullptr && status->liveness != AgentLiveness::kDead;
   return !is_other_incarnation && !is_there;
 }
 
@@ -27,7 +27,7 @@
   answers_[node] = {incarnation, now};
 }
 
-void DeadAgentHold::NoteFarewell(base::NodeId node, base::Incarnation incarnation) {
+void DeadAgentHold::NoteGracefulLeave(base::NodeId node, base::Incarnation incarnation) {
   ended_[node] = incarnation;
   const auto held = held_.find(node);
   if (held != held_.end() && HasEnded(held->second.entry)) {
@@ -54,7 +54,7 @@
   });
   std::vector<AgentEntry> known = former;
   for (const AgentStatus& status : agents) {
-    if (status.standing == AgentStanding::kDead) {
+    if (status.liveness == AgentLiveness::kDead) {
       known.push_back(status.entry);
     }
   }
@@ -72,7 +72,7 @@
       return agent.node == entry.first && agent.incarnation <= entry.second;
     });
     const AgentStatus* status = FindNode(agents, entry.first);
-    const bool is_back = status != nullptr && status->standing != AgentStanding::kDead;
+    const bool is_back = status != nullptr && status->liveness != AgentLiveness::kDead;
     return is_back || !is_known;
   });
 }
--- a/proofs/routing/routing_proof.cpp
+++ b/proofs/routing/routing_proof.cpp
@@ -93,7 +93,7 @@
 
 void CheckPlannerInvariants(const PlannerMechanisms& mechanisms,
                             PlannerFleet::PolicyMaker make_policies,
-                            const routing::FlowDigestMechanisms& digest_mechanisms = {}) {
+                            const routing::FlowCountEncoderMechanisms& digest_mechanisms = {}) {
   PlannerFleet fleet(mechanisms, make_policies, digest_mechanisms);
   rc::state::check(NoModel(), fleet, [](const NoModel& /*model*/) {
     return rc::gen::exec([] {
@@ -226,7 +226,7 @@
 
 const RegisteredProof mutant_digest("without_repeating_unanswered_flows",
                                     ProofKind::kMutantIsCaught, [] {
-                                      routing::FlowDigestMechanisms mechanisms;
+                                      routing::FlowCountEncoderMechanisms mechanisms;
                                       mechanisms.repeat_unanswered = false;
                                       CheckPlannerInvariants(PlannerMechanisms(),
                                                              routing::MakePlannerPolicies,
