--- a/libs/control/fuzz/control_message_fuzzer.cpp
+++ b/libs/control/fuzz/control_message_fuzzer.cpp
@@ -1,4 +1,4 @@
-// Feeds arbitrary bytes to the decoders of what other nodes send the control task.
+// Feeds arbitrary bytes to the decoders of control messages and rosters.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -12,7 +12,7 @@
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   const ControlMessage message = DecodeControlMessage(bytes);
   if (const auto* report = std::get_if<NumberedReport>(&message)) {
-    // What was decoded must be encodable, and then mean the same.
+    // A decoded report must decode again after encoding.
     const ControlMessage again = DecodeControlMessage(EncodeReport(*report));
     if (!std::holds_alternative<NumberedReport>(again)) {
       std::abort();
--- a/libs/control/include/gaugevalve/control/agent_reporter.h
+++ b/libs/control/include/gaugevalve/control/agent_reporter.h
@@ -1,4 +1,5 @@
-// An agent's reports to its planner: when they go out, and what the answers prove.
+// Schedules an agent's reports to its planner and derives from the answers how fresh the agent's
+// table is.
 #pragma once
 
 #include <array>
@@ -16,8 +17,8 @@
 // How often an agent reports.
 struct AgentReporterOptions {
   base::Duration interval = std::chrono::seconds(1);
-  base::Duration fast_interval = std::chrono::milliseconds(200);  // when much has changed
-  // Change of the open flows, as a share of those last reported, that counts as much.
+  base::Duration fast_interval = std::chrono::milliseconds(200);  // after a significant change
+  // Relative change of the open flows since the last report that counts as significant.
   double significant_change_share = 0.2;
 };
 
@@ -26,10 +27,10 @@
  public:
   explicit AgentReporter(const AgentReporterOptions& options) : options_(options) {}
 
-  // Takes the newest measures; the reporter sends the latest only.
+  // Sets the newest measurements. Only the latest ones are sent.
   void Update(const routing::AgentReport& report) { latest_ = report; }
 
-  // Notes who takes the reports: another planner is told of all flows, at the next fast interval.
+  // Sets the node that reports go to. A new planner gets a full report at the next fast interval.
   void SetPlanner(base::NodeId planner);
 
   // Returns a report when one is due.
@@ -38,25 +39,27 @@
   // Returns when Tick() is next due.
   base::TimePoint NextDeadline() const;
 
-  // Takes the planner's answer. Once the agent's table is as new as the planner's was then, the
-  // time at which the report was sent is proven fresh: at once, or by OnTableChanged() later.
+  // Handles the planner's answer. The table counts as confirmed at the time at which the report was
+  // sent as soon as the agent's table is as new as the answer requires: at once, or later by
+  // OnTableChanged().
   void HandleAnswer(const ReportAnswer& answer, const routing::TableVersion& own_table);
 
-  // Notes which table the agent has now. An answer may overtake the table that it names, and while
-  // the planner changes the table with each report there is always a newer one on its way.
+  // Sets the version of the agent's table. An answer may arrive before the table that it names, and
+  // while the planner changes the table with each report, a newer table is always on its way.
   void OnTableChanged(const routing::TableVersion& own_table);
 
-  // Returns the latest time at which the agent's table was the planner's newest.
+  // Returns the latest time for which the agent's table is known to have been current.
   base::TimePoint ConfirmedAt() const { return confirmed_at_; }
 
  private:
   struct SentReport {
     std::uint64_t sequence = 0;
     base::TimePoint sent_at;
-    std::optional<routing::TableVersion> answered;  // the planner's table when it answered
+    std::optional<routing::TableVersion> answered;  // table version that the answer requires
   };
 
-  // Covers routing::kFreshnessLimit at the fast interval: older reports' answers prove nothing.
+  // Covers routing::kFreshnessLimit at the fast interval. Answers to older reports prove no fresh
+  // table.
   static constexpr std::size_t kRememberedReportCount = 16;
 
   bool HasChangedSignificantly() const;
@@ -68,9 +71,10 @@
   base::TimePoint reported_at_{};
   std::uint64_t next_sequence_ = 1;
   base::NodeId planner_;
-  routing::FlowCountEncoder digest_;
-  bool full_report_requested_ = false;  // by the planner, at the next fast interval
-  std::array<SentReport, kRememberedReportCount> sent_{};  // a ring
+  routing::FlowCountEncoder flow_count_encoder_;
+  bool full_report_requested_ = false;  // send a full report at the next fast interval
+  // Ring buffer, indexed by sequence number.
+  std::array<SentReport, kRememberedReportCount> sent_{};
   base::TimePoint confirmed_at_{};
 };
 
--- a/libs/control/include/gaugevalve/control/control_actions.h
+++ b/libs/control/include/gaugevalve/control/control_actions.h
@@ -1,4 +1,4 @@
-// What a control node asks its owner to do.
+// Actions that a control node requests from its owner.
 #pragma once
 
 #include <cstdint>
@@ -23,17 +23,17 @@
   std::string payload;
 };
 
-// Something worth a line in the log.
+// Events for the log.
 enum class ControlEventKind : std::uint8_t {
   kSettingsActivated = 0,  // number: the revision
   kSettingsRefused = 1,    // number: the revision; detail: the findings
-  kStoreUnreadable = 2,    // detail: why what the store holds could not be used
+  kStoreUnreadable = 2,    // detail: why the data in the store could not be used
   kRosterPublished = 3,    // number: the epoch; detail: how many members
   kTablePublished = 4,     // number: the service; detail: the version
-  kRecordMalformed = 5,    // detail: which
+  kRecordMalformed = 5,    // detail: the record or the decoding error
 };
 
-// Returns the event's name in logs, such as "settings_activated".
+// Returns the name of the event in logs, such as "settings_activated".
 std::string_view ControlEventName(ControlEventKind kind);
 
 struct ControlEvent {
@@ -42,14 +42,15 @@
   std::string detail;
 };
 
-// Appended to by each call of the node, in the order in which they are to be done.
+// Each call of the node appends to these lists; entries must be performed in their order.
 struct ControlActions {
   std::vector<OutgoingEnvelope> envelopes;
-  std::vector<membership::MembershipEvent> member_events;  // for the log; already taken in
+  // For the log; the node has already handled them.
+  std::vector<membership::MembershipEvent> member_events;
   std::vector<ControlEvent> events;
-  // To be run on the store; the node must be told the answer, or that it is lost.
+  // To be run on the store. The node must be given the answer, or told that it was lost.
   std::optional<settings::StoreTransaction> store_transaction;
-  std::shared_ptr<const NodeView> view;  // the newest, when it changed; otherwise null
+  std::shared_ptr<const NodeView> view;  // the newest view if it changed; otherwise null
 };
 
 }  // namespace gaugevalve::control
--- a/libs/control/include/gaugevalve/control/control_message.h
+++ b/libs/control/include/gaugevalve/control/control_message.h
@@ -1,4 +1,4 @@
-// What control tasks send each other: agents' reports and planners' answers.
+// Messages between control tasks: reports of agents and answers of planners.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,21 @@
 
 namespace gaugevalve::control {
 
-// An agent's report with the number under which it is answered.
+// A report of an agent, with the sequence number that its answer repeats.
 struct NumberedReport {
   std::uint64_t sequence = 0;
   routing::AgentReport report;
 };
 
-// A planner's answer: its newest table when the report came, and what became of the flows in it.
+// A planner's answer to a report: the table version that the agent needs, and how the flow counts
+// were handled.
 struct ReportAnswer {
   std::uint64_t sequence = 0;
   routing::TableVersion table_version;
   routing::FlowCountsOutcome flows = routing::FlowCountsOutcome::kAccepted;
 };
 
-// std::monostate stands for bytes that can't be read.
+// std::monostate: the message could not be decoded.
 using ControlMessage = std::variant<std::monostate, NumberedReport, ReportAnswer>;
 
 std::string EncodeReport(const NumberedReport& report);
--- a/libs/control/include/gaugevalve/control/control_node.h
+++ b/libs/control/include/gaugevalve/control/control_node.h
@@ -1,5 +1,5 @@
-// The control side of one node, balancer or agent: membership, records, settings in force, roster
-// and planners joined in one decision core.
+// Control plane of one node, balancer or agent: membership, records, active settings, roster and
+// planners in one decision core.
 #pragma once
 
 #include <cstddef>
@@ -29,20 +29,21 @@
 
 namespace gaugevalve::control {
 
-// Who this node is and how its parts behave.
+// Identity of this node and options of its parts.
 struct ControlNodeOptions {
   std::string name;                     // the node's configured name
   membership::MemberMetadata metadata;  // `service` and `endpoint_name` for agents
-  std::string service_name;             // of an agent: its service in the settings tree
+  std::string service_name;             // agents: name of its service in the settings tree
   membership::MembershipOptions membership;
-  dissemination::DisseminationOptions dissemination;  // self, zone and interest are filled in
+  dissemination::DisseminationOptions dissemination;  // self, zone and interest are set by the node
   CoordinatorOptions coordinator;
   settings::CapabilityKeeperOptions capabilities;
   PlannerHostOptions planners;
   AgentReporterOptions reports;
-  // Balancers of each region that read the store and seek the coordinator's lease.
+  // Number of balancers in each region that read the store and compete for the coordinator's lease.
   std::size_t store_readers_per_region = 2;
-  // A node takes no part in the above until it has known its group for this long.
+  // A node neither reads the store nor plans until this time after its start, so that it knows its
+  // group first.
   base::Duration settle_time = std::chrono::seconds(2);
   // Least time between two views.
   base::Duration view_interval = std::chrono::milliseconds(10);
@@ -50,56 +51,58 @@
   InjectedFaults faults;
 };
 
-// Decision core. The daemons and the emulator drive it alike: give it messages, the time, what the
-// store delivers and what became of the lease; do what ControlActions says. Not thread-safe.
+// Decision core. The daemons and the emulator drive it alike: they pass in messages, the time,
+// deliveries of the store and the state of the lease, and perform ControlActions. Not thread-safe.
 class ControlNode {
  public:
   explicit ControlNode(const ControlNodeOptions& options);
 
-  // Takes in members known from elsewhere, before Start(): a shortcut for hollow nodes and tests.
+  // Adds members that are known from elsewhere. Must be called before Start(); a shortcut for
+  // hollow nodes and tests.
   void Preload(std::span<const membership::Member> members);
 
-  // Starts and joins the group. Called once, first.
+  // Starts and joins the group. Must be called once, before the methods below.
   void Start(base::TimePoint now, ControlActions& actions);
 
-  // Takes a message; kinds that aren't the control task's are ignored.
+  // Handles a message; kinds of other tasks are ignored.
   void OnEnvelope(const transport::Envelope& envelope, base::TimePoint now,
                   ControlActions& actions);
 
-  // Does what is due; early calls are harmless.
+  // Performs the work that is due. Early calls are harmless.
   void OnTick(base::TimePoint now, ControlActions& actions);
   base::TimePoint NextWakeUp() const;
 
-  // True when this balancer should watch the settings in the store and seek the coordinator's
-  // lease. It follows from the members, so it changes as they do.
+  // Tells whether this balancer should watch the settings in the store and compete for the
+  // coordinator's lease. It depends on the members, so it changes with them.
   bool ShouldUseStore(base::TimePoint now) const;
 
-  // What the watch on the settings delivers.
+  // Deliveries of the watch on the settings in the store.
   void OnStoreSnapshot(const store::WatchSnapshot& snapshot, base::TimePoint now,
                        ControlActions& actions);
   void OnStoreChanges(const store::WatchChanges& changes, base::TimePoint now,
                       ControlActions& actions);
 
-  // What became of the coordinator's lease; `epoch` is its fencing token.
+  // Changes of the coordinator's lease; `epoch` is its fencing token.
   void OnLeaseHeld(std::uint64_t epoch, base::TimePoint now, ControlActions& actions);
   void OnLeaseLost(base::TimePoint now, ControlActions& actions);
 
-  // What became of ControlActions::store_transaction.
+  // Result of ControlActions::store_transaction.
   void OnStoreAnswer(const settings::StoreTransactionAnswer& answer, base::TimePoint now,
                      ControlActions& actions);
   void OnStoreAnswerLost(base::TimePoint now) { capabilities_.OnAnswerLost(now); }
 
-  // True when the lease should be given back.
+  // Tells whether the lease should be given back.
   bool MustResignLease() const { return coordinator_.MustResign(); }
 
-  // Takes an agent's newest measures for its planner.
+  // Sets an agent's newest measurements for its planner.
   void UpdateReport(const routing::AgentReport& report, base::TimePoint now,
                     ControlActions& actions);
 
-  // Tells others that this node gives up its work, or takes it up again.
+  // Announces that this node is leaving service, or that it is back.
   void SetLeaving(bool leaving, base::TimePoint now, ControlActions& actions);
 
-  // Says farewell; go on ticking for a second, then end.
+  // Leaves the group. The owner must continue to call OnTick() for a second, so that the
+  // announcement is sent.
   void Leave(base::TimePoint now, ControlActions& actions);
 
   // For status pages and tests. References are valid until the next call.
@@ -163,8 +166,8 @@
   std::shared_ptr<const NodeView> view_;
   base::TimePoint started_at_{};
   base::TimePoint next_view_at_{};
-  base::TimePoint next_periodic_work_{};  // coordinator and the like, a few times a second
-  base::TimePoint next_report_{};         // not before; while no planner is known
+  base::TimePoint next_periodic_work_{};  // coordinator and capabilities, a few times a second
+  base::TimePoint next_report_{};         // next attempt while no planner is known
   bool view_stale_ = true;
   bool settings_stale_ = false;
   bool election_stale_ = false;
--- a/libs/control/include/gaugevalve/control/coordinator.h
+++ b/libs/control/include/gaugevalve/control/coordinator.h
@@ -1,4 +1,4 @@
-// What the holder of the coordinator's lease does: it says which balancers may plan.
+// Coordinator: the holder of the coordinator's lease publishes which balancers may plan.
 #pragma once
 
 #include <cstddef>
@@ -13,45 +13,47 @@
 
 namespace gaugevalve::control {
 
-// How the roster is kept.
 struct CoordinatorOptions {
   std::size_t roster_size = kMaxRosterMembers;
-  // A roster member that is gone is replaced after this time; planning goes on without it at once.
+  // Time after which a roster member that is gone is replaced. Planning continues without it at
+  // once.
   base::Duration replace_after = std::chrono::seconds(5);
-  // Time after taking the lease in which membership and the newest roster may arrive.
+  // Time after acquiring the lease in which membership and the newest roster may arrive.
   base::Duration settle_time = std::chrono::seconds(1);
 };
 
-// Decision core, on every balancer; idle without the lease. Not thread-safe.
+// Decision core on every balancer; idle without the lease. Not thread-safe.
 //
-// The epoch is the store revision of the lease, so a coordinator that lost its lease while it was
-// paused publishes an older roster than its successor's, which nobody takes.
+// The epoch is the store revision of the lease. A coordinator that lost its lease during a pause
+// therefore publishes an older roster than its successor's, which no node accepts.
 class Coordinator {
  public:
-  // Slots an epoch has; when they are used up MustResign() asks for a new epoch.
+  // Number of slots of an epoch. When they are used up, MustResign() requests a new epoch.
   static constexpr std::uint32_t kSlotsPerEpoch = 0x8000;
 
   explicit Coordinator(const CoordinatorOptions& options) : options_(options) {}
 
-  // The lease is held, with this fencing token.
+  // Called when the lease is held, with its fencing token.
   void OnLeaseHeld(std::uint64_t epoch, base::TimePoint now);
 
-  // The lease is lost or given back.
+  // Called when the lease is lost or given back.
   void OnLeaseLost();
 
-  // Returns a roster to publish when one is due. `newest` is the newest roster known;
-  // `settings_schema` what the roster is to ask of balancers, nothing to leave that as it is.
+  // Returns a roster to publish if one is due. `newest` is the newest roster known.
+  // `settings_schema` is the schema that the roster requires of balancers; nothing to keep the
+  // present one.
   std::optional<Roster> Tick(const MemberDirectory& directory, const Roster& newest,
                              std::optional<std::uint32_t> settings_schema, base::TimePoint now);
 
-  // True when the lease is held and what there is to know had time to arrive.
+  // Tells whether the lease is held and the settle time has passed, in which members and rosters
+  // could arrive.
   bool IsSettled(base::TimePoint now) const { return HoldsLease() && now >= settled_at_; }
 
   bool HoldsLease() const { return epoch_ != 0; }
   std::uint64_t Epoch() const { return epoch_; }
 
-  // True when the lease must be given back, because this epoch has no slots left or a newer one is
-  // known.
+  // Tells whether the lease must be given back, because this epoch has no slots left or a newer
+  // epoch is known.
   bool MustResign() const { return must_resign_; }
 
  private:
--- a/libs/control/include/gaugevalve/control/member_directory.h
+++ b/libs/control/include/gaugevalve/control/member_directory.h
@@ -1,4 +1,4 @@
-// The live members, indexed the way the control cores ask for them.
+// Live members, indexed for the control cores.
 #pragma once
 
 #include <cstddef>
@@ -12,36 +12,34 @@
 
 namespace gaugevalve::control {
 
-// What an event meant for those who ask the directory.
+// Which members an event changed.
 enum class DirectoryChange : std::uint8_t {
   kNone = 0,
-  kBalancers = 1,  // a balancer came, went, restarted or changed
-  kAgents = 2,     // an agent did
+  kBalancers = 1,  // a balancer joined, left, restarted or changed
+  kAgents = 2,     // an agent joined, left, restarted or changed
 };
 
-// Live members (suspects count as live until they are declared dead), this node among them. Bounded
-// by membership's own table. Not thread-safe.
+// Live members, including this node. Suspects count as live until they are declared dead. The size
+// is bounded by that of membership's table. Not thread-safe.
 class MemberDirectory {
  public:
-  // Takes in what membership reports.
+  // Applies an event of membership.
   DirectoryChange Apply(const membership::MembershipEvent& event);
 
-  // Adds or replaces a live member.
   DirectoryChange Upsert(const membership::Member& member);
 
-  // Removes a member that is no longer there.
   DirectoryChange Remove(base::NodeId node);
 
   // Returns the live member, or null. Valid until the next change.
   const membership::Member* Find(base::NodeId node) const;
 
-  // Returns true when this very life of the node is there.
-  bool IsLive(base::NodeId node, base::Incarnation life) const;
+  // Tells whether this incarnation of the node is live.
+  bool IsLive(base::NodeId node, base::Incarnation incarnation) const;
 
-  // The live balancers, by rising identifier.
+  // Returns the live balancers, sorted by identifier.
   const std::set<base::NodeId>& Balancers() const { return balancers_; }
 
-  // The live agents of a service, by rising identifier.
+  // Returns the live agents of a service, sorted by identifier.
   const std::set<base::NodeId>& AgentsOf(base::ServiceId service) const;
 
   const std::map<base::NodeId, membership::Member>& All() const { return members_; }
--- a/libs/control/include/gaugevalve/control/node_view.h
+++ b/libs/control/include/gaugevalve/control/node_view.h
@@ -1,4 +1,4 @@
-// What the control task of a node hands to its data path: an immutable known_counts, swapped whole.
+// Immutable snapshot of the control state that the control task of a node passes to its data path.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,29 @@
 
 namespace gaugevalve::control {
 
-// What a service's datagrams are.
+// Protocol of a service's datagrams.
 enum class ServiceKind : std::uint8_t {
   kDatagram = 0,  // opaque; a flow is a source address and port
   kHttp3 = 1,     // QUIC; a flow is a connection ID
 };
 
-// One service as the data path needs it.
+// One service as input of the data path.
 struct ServiceView {
   base::ServiceId id;
   std::string name;
   ServiceKind kind = ServiceKind::kDatagram;
-  base::SocketAddress virtual_address;  // where callers send to
+  base::SocketAddress virtual_address;  // address that clients send to
   std::shared_ptr<const routing::BucketTable> table;
 };
 
-// All that a node's data path knows. Never changed after it is published.
+// Snapshot for the data path of one node. Never changed after it is published; a new one replaces
+// it.
 struct NodeView {
-  base::Revision revision;            // settings revision in force
+  base::Revision revision;            // active settings revision
   std::vector<ServiceView> services;  // sorted by virtual address
-  base::TimePoint confirmed_at{};  // when the control task last heard that its tables are current
-  // An agent's own service; null on balancers, and while an agent has no settings.
+  // Latest time for which its tables are known to have been current.
+  base::TimePoint confirmed_at{};
+  // Settings of an agent's own service; null on balancers and while an agent has no settings.
   std::shared_ptr<const settings::ServiceSettings> own_service;
 };
 
--- a/libs/control/include/gaugevalve/control/planner_election.h
+++ b/libs/control/include/gaugevalve/control/planner_election.h
@@ -1,5 +1,5 @@
-// Which balancer plans a service: the same answer on every node that sees the same roster and
-// members, without a message.
+// Election of the balancer that plans a service. Every node with the same roster and members gets
+// the same result without a message.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,9 @@
 
 namespace gaugevalve::control {
 
-// The planner of a service. `tag` makes its generations differ from every other planner's: it is
-// the roster slot, or, without a live roster member, a hash of the life above kFirstHashedTag.
+// The planner of a service. `tag` makes its generations differ from those of every other planner.
+// It is the roster slot or, without a live roster member, a hash of the incarnation from
+// kFirstHashedTag upwards.
 struct ElectedPlanner {
   base::NodeId node;
   std::uint32_t tag = 0;
@@ -21,13 +22,14 @@
   friend bool operator==(const ElectedPlanner&, const ElectedPlanner&) = default;
 };
 
-// A generation is (take-overs, tag): take-overs in the upper bits order it, the tag keeps two
-// planners that take over at the same time, on two sides of a split, from using the same versions.
+// A generation is (number of take-overs, tag). The take-overs in the upper bits order it. The tag
+// prevents two planners that take over at the same time, on the two sides of a network partition,
+// from using the same versions.
 inline constexpr std::uint32_t kTagBits = 16;
 inline constexpr std::uint32_t kFirstHashedTag = 0x8000;
 
-// Returns the planner: the first live member of the roster in rendezvous order of (service, node);
-// when none of the roster is live, the first of all live balancers. Nothing without balancers.
+// Returns the planner: the first live member of the roster in rendezvous order of (service, node),
+// or the first of all live balancers if no member of the roster is live. Nothing without balancers.
 std::optional<ElectedPlanner> ElectPlanner(base::ServiceId service, const Roster& roster,
                                            const MemberDirectory& directory);
 
--- a/libs/control/include/gaugevalve/control/readiness.h
+++ b/libs/control/include/gaugevalve/control/readiness.h
@@ -8,12 +8,12 @@
 
 namespace gaugevalve::control {
 
-// Says what a starting node still lacks. Once nothing was missing it stays ready: a service that is
-// added later must not take every balancer out of the fabric at once. Decision core; not
+// Tells what a starting node still lacks. Once nothing was missing, the node stays ready: a service
+// that is added later must not take every balancer out of service at once. Decision core; not
 // thread-safe.
 class Readiness {
  public:
-  // Returns each thing that is missing, in words for operators; nothing when the node is ready.
+  // Returns a text for operators for each thing that is missing; nothing if the node is ready.
   std::vector<std::string> Missing(const ControlNode& node);
 
  private:
--- a/libs/control/include/gaugevalve/control/record_keys.h
+++ b/libs/control/include/gaugevalve/control/record_keys.h
@@ -1,4 +1,4 @@
-// The records that the control tasks spread.
+// Keys and versions of the records that control tasks disseminate.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,18 @@
 
 // Kinds of records; the numbers are part of the protocol.
 enum class RecordKind : std::uint32_t {
-  kSettingsRoot = 1,      // the RootDocument's text, version = its revision
-  kSettingsSubtree = 2,   // a service's settings, version = the revision that changed it
+  kSettingsRoot = 1,      // text of the RootDocument; version = its revision
+  kSettingsSubtree = 2,   // settings of a service; version = the revision that changed them
   kPlannerRoster = 3,     // version = (epoch, sequence)
-  kTable = 4,             // a service's bucket table, version = the TableVersion
-  kSettingsDefaults = 5,  // the settings at the root of the tree, for agents
+  kTable = 4,             // bucket table of a service; version = the TableVersion
+  kSettingsDefaults = 5,  // settings at the root of the tree, for agents
 };
 
-// Returns the kind of a key.
 inline RecordKind KindOf(const dissemination::RecordKey& key) {
   return static_cast<RecordKind>(key.kind);
 }
 
-// Returns the key of a record that exists once.
+// Returns the key of a record of which there is only one.
 inline dissemination::RecordKey KeyOf(RecordKind kind) {
   return {static_cast<std::uint32_t>(kind), 0};
 }
@@ -38,19 +37,19 @@
   return {version.epoch, (std::uint64_t{version.generation} << 32U) | version.sequence};
 }
 
-// Returns the record version of something settled by a settings revision.
+// Returns the record version of data that a settings revision determines.
 inline dissemination::RecordVersion VersionOf(base::Revision revision) {
   return {revision.value(), 0};
 }
 
-// Balancers hold everything.
+// Balancers hold all records.
 inline dissemination::Interest BalancerInterest() {
   dissemination::Interest interest;
   interest.everything = true;
   return interest;
 }
 
-// Agents hold what is about their own service, the roster and the settings at the root.
+// Agents hold the records of their own service, the roster and the settings at the root.
 inline dissemination::Interest AgentInterest(base::ServiceId service) {
   dissemination::Interest interest;
   interest.scope = service.value();
--- a/libs/control/include/gaugevalve/control/settings_activator.h
+++ b/libs/control/include/gaugevalve/control/settings_activator.h
@@ -1,4 +1,5 @@
-// Puts settings in force on a balancer: a committed revision, whole, never an older one again.
+// Activates settings on a balancer: only complete committed revisions, and never an older one than
+// before.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +17,31 @@
 
 namespace gaugevalve::control {
 
-// A revision in force.
+// The active revision.
 struct ActiveSettings {
   base::Revision revision;                                      // 0: none yet
   std::shared_ptr<const settings::EffectiveSettings> settings;  // null: none yet
 };
 
-// What an attempt to activate came to.
+// Result of an attempt to activate a revision.
 enum class ActivationResult : std::uint8_t {
   kNothingNewer = 0,
   kActivated = 1,
-  kIncomplete = 2,  // the newest root names parts that haven't come yet
-  kRefused = 3,     // it can't be applied here: see Findings()
+  kIncomplete = 2,  // the newest root names subtrees that haven't arrived yet
+  kRefused = 3,     // the revision can't be applied here, see Findings()
 };
 
-// Deliberate faults, by which the proofs show that they would notice. Never set in production.
+// Deliberate faults, by which proofs show that they detect them. Never set in production.
 struct InjectedFaults {
   bool activate_partially = false;
 };
 
 // Decision core over the records held. Not thread-safe.
 //
-// The root record names every service's subtree by digest. A revision is activated when the subtree
-// held for each service has the digest its root names: then the parts are those of one commit.
-// While a part is missing, or is already a later revision's, the revision in force stays.
+// The root record names the subtree of every service by digest. A revision is activated when the
+// subtree held for each service has the digest that the root names, so that all parts are of one
+// commit. While a part is missing or belongs to a later revision already, the active revision
+// stays.
 class SettingsActivator {
  public:
   // `schema_version` is the newest settings schema that this node understands.
@@ -47,13 +49,14 @@
                              std::uint32_t schema_version = settings::kSchemaVersion)
       : faults_(faults), schema_version_(schema_version) {}
 
-  // Activates the newest root's revision if it is newer than the one in force and whole. Call when
-  // the root or a subtree changed; a call costs little when neither did.
+  // Activates the revision of the newest root if it is complete and newer than the active one. Must
+  // be called when the root or a subtree changed; a call without a change is cheap.
   ActivationResult Advance(const dissemination::RecordStore& records);
 
   const ActiveSettings& Active() const { return active_; }
 
-  // Returns the newest revision whose root is known; what is in force lags while it is larger.
+  // Returns the newest revision whose root is known. While it is larger than the active revision,
+  // activation lags.
   base::Revision NewestKnown() const { return newest_known_; }
 
   // Returns why the newest root was refused, or nothing.
@@ -75,16 +78,16 @@
   ActiveSettings active_;
   base::Revision newest_known_;
   base::Revision refused_;
-  settings::RootDocument root_;                    // of newest_known_
-  std::map<std::string, ParsedSubtree> subtrees_;  // by service; only those the root names
+  settings::RootDocument root_;                    // root document of newest_known_
+  std::map<std::string, ParsedSubtree> subtrees_;  // by service; only those that the root names
   base::Findings findings_;
 };
 
-// Settings of the one service that an agent works for. An agent takes its subtree as it comes: each
-// is a committed state of that service.
+// Reads the settings of the service that an agent belongs to. An agent applies its subtree as soon
+// as it arrives, because each is a committed state of that service.
 class ServiceSettingsReader {
  public:
-  // `service` is the name in the tree.
+  // `service` is the name in the settings tree.
   explicit ServiceSettingsReader(std::string service) : service_(std::move(service)) {}
 
   // Reads the records again; returns true when the settings changed.
--- a/libs/control/include/gaugevalve/control/settings_publisher.h
+++ b/libs/control/include/gaugevalve/control/settings_publisher.h
@@ -1,4 +1,4 @@
-// Turns what the store holds into records; runs on the few balancers that read the store.
+// Converts the settings in the store to records, on the few balancers that read the store.
 #pragma once
 
 #include <string>
@@ -19,15 +19,16 @@
   std::string value;
 };
 
-// Records that follow from a read of the store, in the order to publish them: the root comes last,
-// so that a node that has it can find its parts.
+// Records made from a read of the store, in the order in which to publish them. The root comes
+// last, so that a node that has it can find its subtrees.
 struct SettingsRecords {
   std::vector<PublishedRecord> records;
-  base::Findings findings;  // why part of the read could not be used
+  base::Findings findings;  // why parts of the read could not be used
 };
 
-// Returns the records that `held` lacks. `key_values` is the whole tree, or the puts of one
-// delivery of a watch on it: in both cases the newest root comes with every subtree it changed.
+// Returns the records that `held` lacks. `key_values` is either the whole tree or the puts of one
+// delivery of a watch on it. In both cases the newest root comes with every subtree that it
+// changed.
 SettingsRecords RecordsFromStore(const std::vector<store::KeyValue>& key_values,
                                  const dissemination::RecordStore& held);
 
--- a/libs/control/include/gaugevalve/control/status_document.h
+++ b/libs/control/include/gaugevalve/control/status_document.h
@@ -1,4 +1,4 @@
-// What a node tells operators of its control side, as JSON (docs/operators/control-plane.md).
+// Status of a node's control plane for operators, as JSON (docs/operators/control-plane.md).
 #pragma once
 
 #include <optional>
@@ -11,18 +11,18 @@
 
 namespace gaugevalve::control {
 
-// What the shell knows and the core doesn't.
+// State of the store client, which the control core doesn't know.
 struct StoreStatus {
-  bool in_use = false;     // this node reads the store
-  bool streaming = false;  // its watch is open: changes arrive by it
-  std::string lease;       // "held", "lapsed", "not held" or "" when not sought
+  bool in_use = false;     // this node should read the store
+  bool streaming = false;  // its watch is open and delivers changes
+  std::string lease;       // "held", "lapsed", "not held", or "" if the lease isn't sought
 };
 
-// Returns the whole status.
+// Returns the status document.
 std::string FormatStatus(const ControlNode& node, const StoreStatus& store, base::TimePoint now);
 
-// Returns why a flow of the service from this source address and port goes where it goes: bucket,
-// owner, chain and their version. Nothing when no such service is in force here.
+// Returns why a flow from this source address and port goes to its agent: bucket, owner, chain and
+// their version. Nothing if no such service is active here.
 std::optional<std::string> ExplainFlow(const ControlNode& node, std::string_view service,
                                        const base::SocketAddress& source);
 
--- a/libs/control/include/gaugevalve/control/store_transaction_codec.h
+++ b/libs/control/include/gaugevalve/control/store_transaction_codec.h
@@ -1,4 +1,4 @@
-// The settings' transactions as requests to the store.
+// Conversion of settings transactions to requests of the store client.
 #pragma once
 
 #include "gaugevalve/settings/store_transaction.h"
@@ -7,10 +7,10 @@
 
 namespace gaugevalve::control {
 
-// Returns the request that does what the transaction says.
+// Returns the request for the transaction.
 store::TxnRequest MakeRequest(const settings::StoreTransaction& transaction);
 
-// Returns the store's answer to it, with all entries that were read.
+// Returns the store's answer to the request, with all entries that were read.
 settings::StoreTransactionAnswer MakeAnswer(const store::TxnResponse& response);
 
 }  // namespace gaugevalve::control
--- a/libs/control/include/gaugevalve/control/view_builder.h
+++ b/libs/control/include/gaugevalve/control/view_builder.h
@@ -1,4 +1,4 @@
-// Builds the data path's view from what the control side holds.
+// Builds the view of the data path from the control state.
 #pragma once
 
 #include <map>
@@ -14,12 +14,13 @@
 
 using TablesByService = std::map<base::ServiceId, std::shared_ptr<const routing::BucketTable>>;
 
-// Returns the view of a balancer: every service in force that has a table.
+// Returns the view of a balancer: every active service that has a table.
 std::shared_ptr<const NodeView> BuildBalancerView(const ActiveSettings& active,
                                                   const TablesByService& tables,
                                                   base::TimePoint confirmed_at);
 
-// Returns the view of an agent: its own service, once it has settings and a table (null for none).
+// Returns the view of an agent: its own service once it has settings and a table. `table` may be
+// null.
 std::shared_ptr<const NodeView> BuildAgentView(const ServiceSettingsReader& reader,
                                                std::shared_ptr<const routing::BucketTable> table,
                                                base::TimePoint confirmed_at);
--- a/libs/control/include/gaugevalve/control_simulation/hollow_deployment.h
+++ b/libs/control/include/gaugevalve/control_simulation/hollow_deployment.h
@@ -1,4 +1,4 @@
-// A whole deployment of hollow balancers and agents on the simulator.
+// Simulated deployment of hollow balancers and agents.
 #pragma once
 
 #include <cstddef>
@@ -21,13 +21,14 @@
   std::size_t buckets_per_service = 64;
   bool is_preloaded = true;  // members know each other from the start
   bool measures_processor_time = false;
-  control::ControlNodeOptions options;  // of every node; name, metadata and seeds are filled in
+  // Options of every node; name, metadata and seeds are set by the deployment.
+  control::ControlNodeOptions options;
 };
 
-// Adds the nodes zone by zone in turn, keeps the store, and knows the truth. Balancers come first.
+// Adds the nodes to the zones in turn, balancers first, and owns the store.
 class HollowDeployment {
  public:
-  // `simulator` must outlive the deployment. Commits a first tree.
+  // `simulator` must outlive the deployment. Commits an initial settings tree.
   HollowDeployment(simulation::Simulator& simulator, HollowDeploymentSettings settings);
 
   SimulatedStore& Store() { return store_; }
@@ -37,25 +38,25 @@
   simulation::Simulator& Simulation() { return simulator_; }
 
   bool IsRunning(std::size_t node) const;
-  // Returns the present life; the node must not be dead.
+  // Returns the running incarnation of a node, which must not be dead.
   const HollowNode& Life(std::size_t node) const;
 
   void Kill(std::size_t node);
-  // Starts a new life that knows only the seeds.
+  // Starts a new incarnation that knows only the seeds.
   void Restart(std::size_t node);
 
-  // From its next life on the node runs a release that understands this settings schema.
+  // Sets the settings schema that the node understands from its next incarnation on.
   void SetSettingsSchema(std::size_t node, std::uint32_t schema) {
     entries_[node].options.metadata.settings_schema = schema;
   }
 
-  // Commits an edit of one service: its endpoints get this weight.
+  // Commits an edit of one service that sets the weight of its endpoints.
   base::Revision Edit(std::size_t service, std::uint32_t weight);
 
-  // Returns whether every running balancer has this revision in force.
+  // Tells whether this revision is active on every running balancer.
   bool IsInForceEverywhere(base::Revision revision) const;
 
-  // Returns whether all running nodes that hold a table of the service hold the same one, and every
+  // Tells whether all running nodes that hold a table of the service hold the same one, and every
   // running balancer holds one.
   bool HasOneTable(std::size_t service) const;
 
--- a/libs/control/include/gaugevalve/control_simulation/hollow_node.h
+++ b/libs/control/include/gaugevalve/control_simulation/hollow_node.h
@@ -1,4 +1,4 @@
-// A node of the simulation that runs the real control core, with no data path.
+// Simulated node that runs the real control core without a data path.
 #pragma once
 
 #include <chrono>
@@ -14,17 +14,20 @@
 
 namespace gaugevalve::control_simulation {
 
-// One life of a hollow node.
+// Settings of one incarnation of a hollow node.
 struct HollowNodeSettings {
   control::ControlNodeOptions options;
-  // Members known from the start; may be null. Shared, as thousands of nodes start with the same.
+  // Members that are known from the start; may be null. Shared, because thousands of nodes start
+  // with the same list.
   std::shared_ptr<const std::vector<membership::Member>> preload;
   SimulatedStore* store = nullptr;  // must outlive the node
-  // Count the processor time of the node's own work; for benchmarks only, as two runs then differ.
+  // Measure the processor time of the node's own work. For benchmarks only, because the figures
+  // differ from run to run.
   bool measures_processor_time = false;
 };
 
-// Real cores and encoding, simulated clock, network and store. An agent reports no flows.
+// Runs the real cores and encoding with simulated clock, network and store. An agent reports no
+// flows.
 class HollowNode final : public simulation::SimulatedNode {
  public:
   explicit HollowNode(HollowNodeSettings settings);
@@ -36,14 +39,14 @@
   const control::ControlNode& Core() const { return *core_; }
   const transport::TransportCounters& Counters() const { return transport_->Counters(); }
 
-  // Returns the processor time of this life, encoding included; zero unless it is measured.
+  // Returns the processor time of this incarnation, encoding included; zero unless it is measured.
   std::chrono::nanoseconds ProcessorTime() const { return processor_time_; }
 
-  // Every revision this life put in force, in order.
+  // Returns every revision that this incarnation activated, in order.
   const std::vector<base::Revision>& Activations() const { return activations_; }
 
  private:
-  // How often the shell looks after the store and the agent's report.
+  // Interval at which the node reads the store, renews the lease and updates the agent's report.
   static constexpr base::Duration kPeriodicWorkInterval = std::chrono::milliseconds(200);
   static constexpr base::Duration kLeaseTtl = std::chrono::seconds(5);
 
@@ -61,7 +64,7 @@
   std::unique_ptr<simulation::SimulatedTransport> transport_;
   std::unique_ptr<control::ControlNode> core_;
   std::chrono::nanoseconds processor_time_{0};
-  base::Revision store_revision_;  // read so far
+  base::Revision store_revision_;  // newest store revision read
   bool holds_lease_ = false;
   base::TimePoint lease_valid_until_{};
   base::TimePoint next_periodic_work_{};
--- a/libs/control/include/gaugevalve/control_simulation/simulated_store.h
+++ b/libs/control/include/gaugevalve/control_simulation/simulated_store.h
@@ -1,4 +1,4 @@
-// The platform's store as far as control nodes see it: committed revisions and one lease.
+// Simulated store as control nodes use it: committed revisions and one lease.
 #pragma once
 
 #include <cstdint>
@@ -18,33 +18,34 @@
 
 namespace gaugevalve::control_simulation {
 
-// One store for a simulated deployment. Commits are the truth that an oracle compares against.
+// Store of a simulated deployment. Its commits are the reference that an oracle compares nodes
+// with.
 class SimulatedStore {
  public:
-  // Commits a whole tree as the next revision; works also while the store is away for the nodes.
+  // Commits a whole tree as the next revision, also while the store is unavailable to nodes.
   base::Revision Commit(const settings::SettingsTree& tree);
 
-  // While the store is away reads, watches, transactions and the lease fail.
+  // While the store is unavailable, reads, watches, transactions and the lease fail.
   void SetAvailable(bool available) { available_ = available; }
   bool IsAvailable() const { return available_; }
 
-  // Returns everything below the settings' prefix, or nothing when nothing is newer than `known`
-  // (the store revision of an earlier read) or the store is away.
+  // Returns all entries below the settings' prefix; nothing if none is newer than `known`, the
+  // store revision of an earlier read, or the store is unavailable.
   std::optional<store::WatchSnapshot> ReadSince(base::Revision known);
 
-  // Takes or renews the coordinator's lease for `ttl`; returns its fencing token, or nothing when
-  // another node has it or the store is away.
+  // Acquires or renews the coordinator's lease for `ttl`. Returns its fencing token; nothing if
+  // another node has the lease or the store is unavailable.
   std::optional<std::uint64_t> HoldLease(base::NodeId node, base::Duration ttl,
                                          base::TimePoint now);
 
-  // Runs a transaction on the capabilities; returns nothing while the store is away.
+  // Runs a transaction on the capabilities; returns nothing while the store is unavailable.
   std::optional<settings::StoreTransactionAnswer> Run(
       const settings::StoreTransaction& transaction);
 
   // Returns the capabilities stored, if any.
   std::optional<settings::Capabilities> StoredCapabilities() const;
 
-  // Returns the text of every committed revision's effective settings.
+  // Returns the effective settings of every committed revision.
   const std::map<base::Revision, settings::EffectiveSettings>& Committed() const {
     return committed_;
   }
--- a/libs/control/src/agent_reporter.cpp
+++ b/libs/control/src/agent_reporter.cpp
@@ -20,15 +20,16 @@
   sent_[sequence % sent_.size()] = {sequence, now, std::nullopt};
   NumberedReport numbered{sequence, *reported_};
   numbered.report.sequence = sequence;
-  digest_.EncodeChanges(numbered.report);
+  flow_count_encoder_.EncodeChanges(numbered.report);
   return numbered;
 }
 
 void AgentReporter::SetPlanner(base::NodeId planner) {
   if (planner != planner_) {
     planner_ = planner;
-    digest_.Reset();
-    full_report_requested_ = true;  // it can't answer for a table before it has heard of the agents
+    flow_count_encoder_.Reset();
+    // A new planner can't confirm a table before it knows the agents.
+    full_report_requested_ = true;
   }
 }
 
@@ -43,23 +44,24 @@
 }
 
 bool AgentReporter::HasChangedSignificantly() const {
-  const bool other_state = latest_->state != reported_->state ||
-                           latest_->table_version != reported_->table_version ||
-                           latest_->incarnation != reported_->incarnation;
+  const bool state_changed = latest_->state != reported_->state ||
+                             latest_->table_version != reported_->table_version ||
+                             latest_->incarnation != reported_->incarnation;
   const double before = std::max(1.0, static_cast<double>(reported_->open_flows));
   const double change = std::abs(static_cast<double>(latest_->open_flows) - before) / before;
-  return other_state || full_report_requested_ || change > options_.significant_change_share;
+  return state_changed || full_report_requested_ || change > options_.significant_change_share;
 }
 
 void AgentReporter::HandleAnswer(const ReportAnswer& answer,
                                  const routing::TableVersion& own_table) {
-  digest_.HandleAnswer(answer.sequence, answer.flows);
+  flow_count_encoder_.HandleAnswer(answer.sequence, answer.flows);
   full_report_requested_ = answer.flows == routing::FlowCountsOutcome::kNeedsFullReport;
   SentReport& sent = sent_[answer.sequence % sent_.size()];
   if (sent.sequence != answer.sequence) {
     return;
   }
-  // A doubled report is answered twice; each answer proves the same time.
+  // A report that was duplicated on the way is answered twice. Both answers confirm the same time,
+  // and the older table version is sufficient.
   sent.answered = std::min(sent.answered.value_or(answer.table_version), answer.table_version);
   OnTableChanged(own_table);
 }
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -14,7 +14,8 @@
 namespace gaugevalve::control {
 namespace {
 
-// How often the coordinator's and the planners' state is looked at besides events.
+// Interval at which the coordinator runs and an agent without a planner looks for one, besides
+// events.
 constexpr base::Duration kPeriodicWorkInterval = std::chrono::milliseconds(200);
 
 dissemination::DisseminationOptions DisseminationOptionsOf(const ControlNodeOptions& options) {
@@ -220,7 +221,7 @@
       }
       roster_ = std::move(*roster);
       election_stale_ = true;
-      settings_stale_ = true;  // it says which balancers may go in service
+      settings_stale_ = true;  // the roster says which balancers may go into service
       break;
     }
     case RecordKind::kTable:
@@ -373,9 +374,9 @@
   }
 }
 
-// --- What follows from all of it -----------------------------------------------------------------
+// --- Derived state -------------------------------------------------------------------------------
 
-// Brings everything that depends on members, records and time up to date.
+// Updates everything that depends on members, records and time.
 void ControlNode::UpdateDerivedState(base::TimePoint now, ControlActions& actions) {
   if (std::exchange(settings_stale_, false)) {
     AdvanceSettings(actions);
@@ -417,8 +418,9 @@
   }
 }
 
-// A balancer that understands less than edits may need by now waits until the coordinator has seen
-// it and stored that. Once in service it is counted, so that nothing can be asked of it any more.
+// A balancer whose settings schema is older than the one that edits may use waits until the
+// coordinator has seen it and stored its schema. Once it is in service it is counted, so edits
+// can't require a newer schema any more.
 bool ControlNode::MayGoInService() const {
   return activator_.Active().settings != nullptr ||
          options_.metadata.settings_schema >= roster_.settings_schema;
@@ -457,7 +459,7 @@
   const bool has_settings = activator_.Active().settings != nullptr;
   const bool settled = membership_.IsJoined() && now >= started_at_ + options_.settle_time;
   if (!has_settings || !settled) {
-    return;  // planning on half a view of the members would move buckets for nothing
+    return;  // planning with an incomplete member list would move buckets needlessly
   }
   const PlanningContext context = MakePlanningContext();
   if (std::exchange(election_stale_, false)) {
--- a/libs/control/src/coordinator.cpp
+++ b/libs/control/src/coordinator.cpp
@@ -9,7 +9,7 @@
 namespace gaugevalve::control {
 namespace {
 
-// A live balancer that isn't on the roster, and how many of its zone are.
+// A live balancer that isn't on the roster, and how many roster members its zone has.
 struct Candidate {
   std::size_t members_in_zone = 0;
   std::uint64_t weight = 0;
@@ -52,13 +52,13 @@
     return std::nullopt;
   }
   const bool first = published_.epoch != epoch_;
-  // A new epoch goes on with the members it finds, so that few services change their planner.
+  // A new epoch keeps the members that it finds, so that few services change their planner.
   const Roster& last = first ? newest : published_;
   Roster next{epoch_, published_.sequence, {}, settings_schema.value_or(last.settings_schema)};
   for (const RosterMember& member : last.members) {
     if (!IsOverdue(member, directory, now)) {
       const std::uint32_t slot = first ? next_slot_++ : member.slot;
-      next.members.push_back({member.node, member.life, slot});
+      next.members.push_back({member.node, member.incarnation, slot});
     }
   }
   FillVacancies(directory, next);
@@ -72,11 +72,11 @@
   return next;
 }
 
-// True when this life has been gone for longer than the roster waits. Another life of the node
-// replaces it at once.
+// Tells whether this incarnation has been gone for longer than `replace_after`. Another incarnation
+// of the node replaces it at once.
 bool Coordinator::IsOverdue(const RosterMember& member, const MemberDirectory& directory,
                             base::TimePoint now) {
-  if (directory.IsLive(member.node, member.life)) {
+  if (directory.IsLive(member.node, member.incarnation)) {
     missing_since_.erase(member.node);
     return false;
   }
@@ -91,7 +91,7 @@
   return overdue;
 }
 
-// Adds live balancers, one at a time from the zone that has the fewest members.
+// Adds live balancers one at a time, each from the zone that has the fewest members.
 void Coordinator::FillVacancies(const MemberDirectory& directory, Roster& roster) {
   std::map<std::string, std::size_t> members_in_zone;
   for (const RosterMember& member : roster.members) {
--- a/libs/control/src/member_directory.cpp
+++ b/libs/control/src/member_directory.cpp
@@ -65,9 +65,9 @@
   return found == members_.end() ? nullptr : &found->second;
 }
 
-bool MemberDirectory::IsLive(base::NodeId node, base::Incarnation life) const {
+bool MemberDirectory::IsLive(base::NodeId node, base::Incarnation incarnation) const {
   const membership::Member* member = Find(node);
-  return member != nullptr && member->metadata->life == life;
+  return member != nullptr && member->metadata->life == incarnation;
 }
 
 const std::set<base::NodeId>& MemberDirectory::AgentsOf(base::ServiceId service) const {
--- a/libs/control/src/planner_election.cpp
+++ b/libs/control/src/planner_election.cpp
@@ -27,7 +27,7 @@
     }
   };
   for (const RosterMember& member : roster.members) {
-    if (directory.IsLive(member.node, member.life)) {
+    if (directory.IsLive(member.node, member.incarnation)) {
       consider(member.node, member.slot);
     }
   }
--- a/libs/control/src/planner_host.cpp
+++ b/libs/control/src/planner_host.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr base::Duration kMinStepInterval = std::chrono::seconds(1);
-// The settings' weight of an ordinary endpoint.
+// Weight in the settings that corresponds to a planner weight of 1.
 constexpr double kDefaultEndpointWeight = 100.0;
 
 const settings::ServiceSettings* FindService(const settings::EffectiveSettings& settings,
@@ -19,8 +19,8 @@
   return found == settings.services.end() ? nullptr : &*found;
 }
 
-// What the planner is told of an agent. An agent whose endpoint isn't in the settings keeps its
-// flows and gets no new ones.
+// Returns the agent's status for the planner. An agent whose endpoint isn't in the settings keeps
+// its flows and gets no new ones.
 routing::AgentStatus StatusOf(const membership::Member& member,
                               const settings::ServiceSettings& service) {
   const membership::MemberMetadata& metadata = *member.metadata;
@@ -113,10 +113,10 @@
 }
 
 void PlannerHost::NoteGracefulLeave(base::ServiceId service, base::NodeId agent,
-                                    base::Incarnation life) {
+                                    base::Incarnation incarnation) {
   const auto found = hosted_.find(service);
   if (found != hosted_.end() && found->second.planner != nullptr) {
-    found->second.planner->NoteGracefulLeave(agent, life);
+    found->second.planner->NoteGracefulLeave(agent, incarnation);
   }
 }
 
@@ -163,7 +163,7 @@
     if (has_room) {
       hosted.early_reports[numbered.report.node] = numbered.report;
     }
-    return std::nullopt;  // it knows no table yet that it could vouch for
+    return std::nullopt;  // without a table it can confirm none
   }
   return HandleAndAnswer(*hosted.planner, numbered.report, now);
 }
@@ -199,7 +199,7 @@
       changed.push_back(hosted.planner->Table());
     }
     for (DeferredAnswer& answer : late) {
-      // The table just published may be the first that lists it.
+      // The table just published may be the first that lists the agent.
       answer.answer.table_version = hosted.planner->ListedSince(answer.agent, answer.incarnation);
       deferred_answers_.push_back(answer);
     }
@@ -214,7 +214,8 @@
   std::optional<routing::BucketTable> newest = context.newest_table(service.id);
   const routing::TableVersion version =
       newest.has_value() ? newest->version : routing::TableVersion{};
-  // A table of a newer epoch than this node's roster comes from a coordinator it hasn't heard of.
+  // A table with a newer epoch than this node's roster was made under a coordinator whose roster
+  // hasn't arrived here yet.
   const std::uint64_t epoch = std::max(hosted.roster_epoch, version.epoch);
   const std::uint32_t generation = TakeOverGeneration(version, epoch, hosted.tag);
   routing::PlannerSettings planner_settings;
--- a/libs/control/src/readiness.cpp
+++ b/libs/control/src/readiness.cpp
@@ -10,7 +10,7 @@
                      [&](const ServiceView& candidate) { return candidate.id == service; });
 }
 
-// A service without live agents has no table that could be waited for.
+// A service without live agents has no table to wait for.
 void AddMissingTables(const ControlNode& node, const NodeView& view,
                       std::vector<std::string>& missing) {
   const auto& settings = node.Settings().Active().settings;
--- a/libs/control/src/roster.cpp
+++ b/libs/control/src/roster.cpp
@@ -19,7 +19,7 @@
   for (const RosterMember& member : roster.members) {
     proto::RosterMember& entry = *message.add_members();
     entry.set_node(member.node.value());
-    entry.set_life(member.life.value());
+    entry.set_life(member.incarnation.value());
     entry.set_slot(member.slot);
   }
   message.set_settings_schema(roster.settings_schema);
--- a/libs/control/src/settings_activator.cpp
+++ b/libs/control/src/settings_activator.cpp
@@ -17,7 +17,7 @@
   return settings::SubtreeDocument{message.service(), message.text()};
 }
 
-// Returns the tree of the root's own fields, without services.
+// Returns the tree of the root's own settings, without services.
 settings::SettingsTree RootOnly(settings::RootDocument root) {
   root.services.clear();
   return settings::AssembleTree(root, {});
@@ -47,11 +47,11 @@
     if (newest_known_ <= active_.revision) {
       return ActivationResult::kNothingNewer;
     }
-    bool whole = true;
+    bool complete = true;
     for (const settings::SubtreeReference& reference : root_.services) {
-      whole = ReadSubtree(records, reference) && whole;
+      complete = ReadSubtree(records, reference) && complete;
     }
-    if (!whole && !faults_.activate_partially) {
+    if (!complete && !faults_.activate_partially) {
       return ActivationResult::kIncomplete;
     }
     Activate();
@@ -76,7 +76,7 @@
   }
 }
 
-// Makes the parsed subtree the one the root names; false when that isn't held.
+// Parses the subtree that the reference names; returns false if that subtree isn't held.
 bool SettingsActivator::ReadSubtree(const dissemination::RecordStore& records,
                                     const settings::SubtreeReference& reference) {
   const auto parsed = subtrees_.find(reference.service);
--- a/libs/control/src/settings_publisher.cpp
+++ b/libs/control/src/settings_publisher.cpp
@@ -39,7 +39,7 @@
   return record != nullptr && record->stamp.version >= version;
 }
 
-// Appends the subtree's record when the read has the text that the root names.
+// Appends the record of the subtree if the read contains the text that the root names.
 void AppendSubtree(const settings::SubtreeReference& reference,
                    const std::map<std::string, std::string>& values,
                    const dissemination::RecordStore& held, SettingsRecords& result) {
@@ -55,7 +55,8 @@
   const settings::SubtreeDocument document{reference.service, present ? found->second : ""};
   if (!present || document.Digest() != reference.digest) {
     result.findings.push_back(
-        {{"store", 0, 0, store_key}, "the root names another text of this service than was read"});
+        {{"store", 0, 0, store_key},
+         "the text of this service in the store doesn't have the digest that the root names"});
     return;
   }
   result.records.push_back({key, version, EncodeSubtree(document)});
@@ -69,7 +70,7 @@
   const std::map<std::string, std::string> values = NewestByKey(key_values);
   const auto root_value = values.find(std::string(settings::kRootKey));
   if (root_value == values.end()) {
-    return result;  // no edit was made yet, or none in this delivery
+    return result;  // nothing was committed yet, or no root in this delivery
   }
   settings::RootDocument root;
   try {
--- a/libs/control/src/simulation/hollow_deployment.cpp
+++ b/libs/control/src/simulation/hollow_deployment.cpp
@@ -126,10 +126,12 @@
 void HollowDeployment::Kill(std::size_t node) { simulator_.Kill(entries_[node].index); }
 
 void HollowDeployment::Restart(std::size_t node) {
-  base::Incarnation& life = entries_[node].options.metadata.life;
-  // As a process that takes the time of its start in microseconds; the run's time starts at zero.
+  base::Incarnation& incarnation = entries_[node].options.metadata.life;
+  // Like a daemon, the node derives its incarnation from its start time in microseconds. Simulated
+  // time starts at zero.
   const auto started = simulator_.Now().time_since_epoch().count();
-  life = base::Incarnation(std::max(life.value() + 1, static_cast<std::uint64_t>(started)));
+  incarnation =
+      base::Incarnation(std::max(incarnation.value() + 1, static_cast<std::uint64_t>(started)));
   simulator_.Restart(entries_[node].index, MakeLife(node, false));
 }
 
--- a/libs/control/src/status_document.cpp
+++ b/libs/control/src/status_document.cpp
@@ -25,7 +25,8 @@
   return member == nullptr ? "" : member->metadata->control_address.ToString();
 }
 
-// A node as people know it: its endpoint's name for agents, its control address for balancers.
+// Returns a node as shown to operators: with its endpoint's name for agents and its control
+// address.
 Json NodeJson(const MemberDirectory& directory, base::NodeId node) {
   const membership::Member* member = directory.Find(node);
   Json json{{"node", node.value()}, {"control_address", AddressOf(directory, node)}};
@@ -53,13 +54,13 @@
   for (const RosterMember& member : roster.members) {
     Json json = NodeJson(node.Directory(), member.node);
     json["slot"] = member.slot;
-    json["live"] = node.Directory().IsLive(member.node, member.life);
+    json["live"] = node.Directory().IsLive(member.node, member.incarnation);
     members.push_back(std::move(json));
   }
   return {{"epoch", roster.epoch}, {"sequence", roster.sequence}, {"members", std::move(members)}};
 }
 
-// The agents that own buckets, which is where new flows go.
+// Returns the agents that own buckets and thus get new flows, with the number of their buckets.
 Json OwnersJson(const MemberDirectory& directory, const routing::BucketTable& table) {
   std::map<base::NodeId, std::size_t> counts;
   for (const routing::Bucket& bucket : table.buckets) {
--- a/libs/control/tests/agent_reporter_test.cpp
+++ b/libs/control/tests/agent_reporter_test.cpp
@@ -21,7 +21,7 @@
 
   void ReportsAtABoundedRate() {
     AgentReporter reporter({});
-    CPPUNIT_ASSERT(!reporter.Tick(At(0)).has_value());  // nothing measured yet
+    CPPUNIT_ASSERT(!reporter.Tick(At(0)).has_value());  // no measurements yet
     routing::AgentReport report;
     report.open_flows = 100;
     int sent = 0;
@@ -32,7 +32,7 @@
     CPPUNIT_ASSERT_EQUAL(10, sent);
     report.open_flows = 200;
     reporter.Update(report);
-    CPPUNIT_ASSERT(reporter.Tick(At(10'010)).has_value());  // much has changed
+    CPPUNIT_ASSERT(reporter.Tick(At(10'010)).has_value());  // significant change
     report.open_flows = 300;
     reporter.Update(report);
     CPPUNIT_ASSERT(!reporter.Tick(At(10'020)).has_value());
@@ -44,11 +44,12 @@
     reporter.Update({});
     const std::uint64_t first = reporter.Tick(At(1000))->sequence;
     reporter.HandleAnswer({first, {2, 1, 5}}, {2, 1, 4});
-    CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});  // the planner has a newer one
+    // The planner requires a newer one.
+    CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});
     reporter.HandleAnswer({first + 7, {2, 1, 4}}, {2, 1, 4});
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});  // no such report
     reporter.HandleAnswer({first, {2, 1, 4}}, {2, 1, 4});
-    CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));  // when it was sent, not when answered
+    CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));  // time of sending, not of the answer
   }
 
   void EarlyAnswerConfirmsOnceItsTableArrives() {
@@ -62,7 +63,8 @@
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));
   }
 
-  // The planner's table is always one step ahead of the agent's, as while many endpoints drain.
+  // Guards against unconfirmed tables while the planner changes its table with each report, as when
+  // many endpoints drain: its table is always one step ahead of the agent's.
   void TableThatChangesWithEachReportStaysConfirmed() {
     constexpr int kIntervalMilliseconds = 200;
     AgentReporter reporter({});
@@ -97,7 +99,7 @@
     const NumberedReport fourth = *reporter.Tick(At(3000));
     CPPUNIT_ASSERT_EQUAL(third.sequence, fourth.report.flows_base);
     reporter.HandleAnswer({fourth.sequence, {}, routing::FlowCountsOutcome::kNeedsFullReport}, {});
-    const std::optional<NumberedReport> fifth = reporter.Tick(At(3200));  // and soon
+    const std::optional<NumberedReport> fifth = reporter.Tick(At(3200));  // at the fast interval
     CPPUNIT_ASSERT(fifth->report.flows_in_buckets == report.flows_in_buckets);
   }
 
--- a/libs/control/tests/control_node_test.cpp
+++ b/libs/control/tests/control_node_test.cpp
@@ -67,7 +67,9 @@
   CPPUNIT_TEST(OlderReleaseIsCountedBeforeItIsInService);
   CPPUNIT_TEST_SUITE_END();
 
-  // The schema of the other balancers is 2, and of the older release 1, which the tree needs.
+  // A balancer of an older release must be counted in the stored capabilities before it goes into
+  // service. The tree needs settings schema 1, which is what the older release understands; the
+  // other balancers understand schema 2.
   void OlderReleaseIsCountedBeforeItIsInService() {
     constexpr std::size_t kOlder = 5;
     Deployment deployment(8, 2);
@@ -98,7 +100,7 @@
     Deployment deployment(1);
     CPPUNIT_ASSERT(deployment.RunUntilInForce(base::Revision(1)));
     CPPUNIT_ASSERT(deployment.RunUntilOneTable());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, deployment.CountStoreReaders());  // two a region
+    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, deployment.CountStoreReaders());  // two per region
     const NodeView& view = *deployment.nodes.Life(0).Core().View();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, view.services.size());
     CPPUNIT_ASSERT(view.services[0].virtual_address < view.services[1].virtual_address);
@@ -133,29 +135,31 @@
     CPPUNIT_ASSERT(deployment.RunUntilInForce(base::Revision(1)));
     CPPUNIT_ASSERT(deployment.RunUntilOneTable());
     deployment.simulator.RunFor(std::chrono::seconds(10));
-    const std::size_t victim = deployment.nodes.BalancerCount();
+    const std::size_t killed_agent = deployment.nodes.BalancerCount();
     const base::ServiceId service = base::MakeServiceId(HollowDeployment::ServiceName(0));
-    const base::NodeId dead = base::MakeNodeId(deployment.nodes.Life(victim).Core().Options().name);
+    const base::NodeId dead =
+        base::MakeNodeId(deployment.nodes.Life(killed_agent).Core().Options().name);
     const auto owns_nothing = [&] {
       const auto table = deployment.nodes.Life(0).Core().TableOf(service);
       return std::none_of(table->buckets.begin(), table->buckets.end(),
                           [&](const routing::Bucket& bucket) { return bucket.owner == dead; });
     };
     CPPUNIT_ASSERT(!owns_nothing());
-    deployment.nodes.Kill(victim);
+    deployment.nodes.Kill(killed_agent);
     CPPUNIT_ASSERT(deployment.simulator.RunUntil(owns_nothing, std::chrono::seconds(60)));
   }
 
   void AnotherPlannerTakesOver() {
     Deployment deployment(5);
-    deployment.simulator.RunFor(std::chrono::seconds(30));  // the roster is out, planners run
+    // A roster is published and planners run.
+    deployment.simulator.RunFor(std::chrono::seconds(30));
     const base::ServiceId service = base::MakeServiceId(HollowDeployment::ServiceName(0));
     const std::optional<ElectedPlanner> first = deployment.nodes.Life(0).Core().PlannerOf(service);
     const std::size_t planner = BalancerNamed(deployment, first->node);
     const std::size_t other = (planner + 1) % deployment.nodes.BalancerCount();
     const routing::TableVersion before =
         deployment.nodes.Life(other).Core().TableOf(service)->version;
-    deployment.nodes.Store().SetAvailable(false);  // taking over needs no store
+    deployment.nodes.Store().SetAvailable(false);  // a take-over needs no store
     deployment.nodes.Kill(planner);
     const auto taken_over = [&] {
       const routing::TableVersion now =
@@ -166,8 +170,9 @@
     CPPUNIT_ASSERT(deployment.RunUntilOneTable());
   }
 
-  // How long agents of a service go without a confirmation when their planner is killed, at worst
-  // over several deployments. They open no flow once it is older than routing::kFreshnessLimit.
+  // Agents open no flows once their confirmation is older than routing::kFreshnessLimit. Measures
+  // the longest time that agents of a service go without a confirmation when their planner is
+  // killed, over several deployments.
   void AgentsAreConfirmedWithinTheFreshnessLimitAfterPlannerDeath() {
     constexpr std::uint64_t kDeployments = 10;
     constexpr auto kStep = std::chrono::milliseconds(50);
@@ -231,7 +236,7 @@
     deployment.simulator.Network().BlockRegions("north", "south");
     deployment.simulator.RunFor(std::chrono::seconds(60));
     const base::Revision revision = deployment.nodes.Edit(1, 9);
-    CPPUNIT_ASSERT(deployment.RunUntilInForce(revision));  // each side has its readers
+    CPPUNIT_ASSERT(deployment.RunUntilInForce(revision));  // both sides have store readers
     deployment.simulator.Network().HealPartitions();
     deployment.simulator.RunFor(std::chrono::seconds(30));
     CPPUNIT_ASSERT(deployment.RunUntilOneTable());
--- a/libs/control/tests/coordinator_test.cpp
+++ b/libs/control/tests/coordinator_test.cpp
@@ -58,7 +58,7 @@
     const Roster roster = Publish(coordinator, {});
     CPPUNIT_ASSERT_EQUAL(kEpoch, roster.epoch);
     CPPUNIT_ASSERT(
-        !coordinator.Tick(directory_, roster, schema_, now_).has_value());  // nothing new
+        !coordinator.Tick(directory_, roster, schema_, now_).has_value());  // nothing changed
     coordinator.OnLeaseLost();
     directory_.Remove(roster.members[0].node);
     now_ += std::chrono::minutes(1);
@@ -105,7 +105,7 @@
     const std::string zone = directory_.Find(before.node)->metadata->zone;
     directory_.Upsert(MakeBalancer(before.node.value(), zone, 2));
     const ElectedPlanner elected = *ElectPlanner(base::ServiceId(3), first, directory_);
-    CPPUNIT_ASSERT(elected.node != before.node);  // the roster doesn't name its new life yet
+    CPPUNIT_ASSERT(elected.node != before.node);  // the roster doesn't list its new incarnation yet
     const Roster second = Publish(coordinator, first);
     for (const RosterMember& member : second.members) {
       CPPUNIT_ASSERT(member.slot != before.slot);
@@ -147,7 +147,7 @@
     Coordinator second(FiveMembers());
     second.OnLeaseHeld(kEpoch + 1, now_);
     CPPUNIT_ASSERT_EQUAL(3U,
-                         Publish(second, old).settings_schema);  // as long as it knows no better
+                         Publish(second, old).settings_schema);  // kept until a new value is known
   }
 
   void ElectionFallsBackToAllBalancers() {
--- a/libs/control/tests/member_fixture.h
+++ b/libs/control/tests/member_fixture.h
@@ -8,13 +8,12 @@
 
 namespace gaugevalve::control {
 
-// Returns a live balancer.
 inline membership::Member MakeBalancer(std::uint64_t node, const std::string& zone,
-                                       std::uint64_t life = 1) {
+                                       std::uint64_t incarnation = 1) {
   membership::MemberMetadata metadata;
   metadata.zone = zone;
   metadata.region = "region";
-  metadata.life = base::Incarnation(life);
+  metadata.life = base::Incarnation(incarnation);
   membership::Member member;
   member.node = base::NodeId(node);
   member.incarnation = metadata.life;
--- a/libs/control/tests/readiness_test.cpp
+++ b/libs/control/tests/readiness_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint64_t kSeed = 20261202;
 
-// Two balancers, which know two services of one agent each.
+// Two balancers and two services of one agent each.
 struct Deployment {
   Deployment()
       : simulator(kSeed, simulation::NetworkModel({{"north", "n1"}}, {})),
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT(deployment.Core(0).Directory().AgentsOf(service).empty());
   }
 
-  // The verdict is of one life: the next one starts with a Readiness of its own.
+  // Readiness is kept for one incarnation; the next one starts with a new Readiness.
   void ReadyNodeStaysReady() {
     Deployment deployment;
     Readiness readiness;
@@ -94,11 +94,12 @@
     CPPUNIT_ASSERT(!Readiness().Missing(deployment.Core(0)).empty());
   }
 
-  // With settings and tables at hand it can't tell yet whether a peer has newer ones.
+  // A restarted balancer with settings and tables can't tell whether a peer has newer ones until it
+  // has compared its records.
   void RestartedBalancerComparesRecordsFirst() {
     Deployment deployment;
-    Readiness first_life;
-    CPPUNIT_ASSERT(deployment.RunUntilReady(0, first_life));
+    Readiness first_readiness;
+    CPPUNIT_ASSERT(deployment.RunUntilReady(0, first_readiness));
     deployment.simulator.RunFor(std::chrono::seconds(20));
     deployment.nodes.Restart(0);
     Readiness readiness;
--- a/libs/control/tests/settings_activator_test.cpp
+++ b/libs/control/tests/settings_activator_test.cpp
@@ -43,7 +43,7 @@
 
   static constexpr dissemination::RecordStoreLimits kLimits{};
 
-  // Returns the records that a reader without any would publish now.
+  // Returns the records that a store reader without any records would publish.
   static std::vector<PublishedRecord> AllRecords(control_simulation::SimulatedStore& store) {
     const dissemination::RecordStore nothing(kLimits);
     return RecordsFromStore(store.ReadSince(base::Revision())->key_values, nothing).records;
@@ -74,7 +74,7 @@
     store.Commit(TreeWithWeight("5"));
     const std::vector<PublishedRecord> parts = AllRecords(store);
     CPPUNIT_ASSERT(KindOf(parts.back().key) == RecordKind::kSettingsRoot);
-    // The root first, then the rest: the worst order.
+    // The root arrives first, which is the least favourable order.
     dissemination::RecordStore records(kLimits);
     SettingsActivator activator;
     Put(records, parts.back());
@@ -98,7 +98,7 @@
     store.Commit(TreeWithWeight("6"));
     const std::vector<PublishedRecord> second = AllRecords(store);
     SettingsActivator activator;
-    Put(records, second.front());  // one subtree is already the second revision's
+    Put(records, second.front());  // one subtree already belongs to the second revision
     for (const PublishedRecord& record : first) {
       Put(records, record);
     }
--- a/libs/lease/include/gaugevalve/lease/fencing_gate.h
+++ b/libs/lease/include/gaugevalve/lease/fencing_gate.h
@@ -1,15 +1,16 @@
-// The receiver's half of fencing: refuses what an earlier holder of a lease sends.
+// Receiver side of fencing: rejects actions of earlier holders of a lease.
 #pragma once
 
 #include "gaugevalve/lease/fencing_token.h"
 
 namespace gaugevalve::lease {
 
-// Guards one resource. A lease alone can't keep a paused holder from sending what it decided before
-// the pause; this can, as soon as anything of a newer holder has arrived. Not thread-safe.
+// Guards one resource. A lease alone can't prevent a holder that was paused from sending what it
+// decided before the pause. The gate rejects such actions as soon as anything of a newer holder has
+// arrived. Not thread-safe.
 class FencingGate {
  public:
-  // Returns true when the action may be taken: no action of a newer holder was taken before.
+  // Tells whether the action may be performed: no action of a newer holder was admitted before.
   bool Admit(FencingToken token) {
     if (token == FencingToken{} || token < newest_) {
       return false;
--- a/libs/lease/include/gaugevalve/lease/fencing_token.h
+++ b/libs/lease/include/gaugevalve/lease/fencing_token.h
@@ -8,7 +8,7 @@
 namespace gaugevalve::lease {
 
 // The store revision at which a holder acquired its lease. A later holder of the same lease always
-// has a larger one. 0 is "none".
+// has a larger token. 0 means none.
 using FencingToken = base::StrongId<struct FencingTokenTag, std::uint64_t>;
 
 }  // namespace gaugevalve::lease
--- a/libs/lease/include/gaugevalve/lease/lease_settings.h
+++ b/libs/lease/include/gaugevalve/lease/lease_settings.h
@@ -1,4 +1,4 @@
-// What a lease holder is told about its lease and about time.
+// Settings of a lease and its timing.
 #pragma once
 
 #include <chrono>
@@ -9,22 +9,23 @@
 
 namespace gaugevalve::lease {
 
-// All candidates for one lease use the same key and time to live.
+// All holders that compete for one lease use the same key and time to live.
 struct LeaseSettings {
-  std::string key;     // its presence in the store means that the lease is held
-  std::string holder;  // the key's value: names the holder for people
+  std::string key;     // the lease is held while this key exists in the store
+  std::string holder;  // value of the key: names the holder for operators
   std::chrono::seconds ttl{15};
   base::Duration renew_interval = std::chrono::seconds(4);
-  // Taken off the end, for actions that were begun while the lease was held.
+  // Subtracted from the end of the lease, for actions that were started while it was held.
   base::Duration safety_margin = std::chrono::seconds(2);
-  // How much slower than the store's clock the holder's may run, as a part of 1.
+  // Maximum fraction by which the holder's clock may run slower than the store's.
   double clock_drift = 0.01;
   base::Duration request_timeout = std::chrono::seconds(3);
-  // How often a lease that another holds is looked at; drawn from [half, whole] of this.
+  // Interval at which a lease of another holder is read again; drawn from [half, whole] of this.
   base::Duration poll_interval = std::chrono::seconds(5);
   store::BackoffSettings backoff{std::chrono::milliseconds(250), std::chrono::seconds(5)};
 
-  // Throws base::FindingsError when the settings leave the holder no time in which it holds.
+  // Throws base::FindingsError if the settings are invalid, for example if they leave the holder no
+  // time in which it holds the lease.
   void Check() const;
 };
 
--- a/libs/lease/include/gaugevalve/lease/lease_task.h
+++ b/libs/lease/include/gaugevalve/lease/lease_task.h
@@ -1,4 +1,4 @@
-// Runs a LeaseHolder over a store client on an event loop.
+// Runs a LeaseHolder with a store client on an event loop.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +14,29 @@
 
 namespace gaugevalve::lease {
 
-// The shell of LeaseHolder: hands its requests to the store client and calls back when the view
-// changes. Not thread-safe: everything runs on the event loop's thread.
+// Drives a LeaseHolder: passes its requests to the store client and reports changes of its view.
+// Not thread-safe: everything runs on the thread of the event loop.
 class LeaseTask {
  public:
   // Called on the event loop after each change of status, token or `renewal_fails`.
   using Callback = std::function<void(const LeaseView&)>;
 
-  // `loop`, `client` and `clock` must outlive the task. Throws base::FindingsError for settings
-  // that can't work.
+  // `loop`, `client` and `clock` must outlive the task. Throws base::FindingsError if the settings
+  // are invalid.
   LeaseTask(event_base* loop, store::StoreClient& client, const base::Clock& clock,
             LeaseSettings settings, std::uint64_t seed, Callback on_change);
   LeaseTask(const LeaseTask&) = delete;
   LeaseTask& operator=(const LeaseTask&) = delete;
 
-  // Begins to try for the lease.
+  // Starts to compete for the lease.
   void Campaign();
 
-  // Gives the lease up and stops trying. The store is told from the event loop: a task or client
-  // destroyed before that leaves the lease to end by itself.
+  // Gives the lease up and stops competing for it. The request to the store is sent from the event
+  // loop: if the task or the client is destroyed before that, the lease expires in the store.
   void Resign();
 
-  // Returns what may be believed now. Ask right before each action: the callback may be late.
+  // Returns the state of the lease now. Must be called right before each action, because the
+  // callback may be late.
   LeaseView View() const { return holder_.View(clock_.Now()); }
 
  private:
@@ -49,7 +50,8 @@
   Callback on_change_;
   tasks::Timer timer_;
   LeaseView reported_;
-  // Callbacks of the store client hold this weakly and do nothing after the task's end.
+  // Callbacks of the store client hold this weakly, so that they do nothing after the task is
+  // destroyed.
   std::shared_ptr<LeaseTask*> self_ = std::make_shared<LeaseTask*>(this);
 };
 
--- a/libs/lease/src/lease_holder.cpp
+++ b/libs/lease/src/lease_holder.cpp
@@ -179,7 +179,8 @@
 
 void LeaseHolder::OnGranted(const store::Result& result, base::TimePoint now) {
   if (!result.IsOk()) {
-    return BackOff(State::kBackingOff, now);  // a lease granted all the same ends by itself
+    // If the lease was granted nevertheless, it expires in the store.
+    return BackOff(State::kBackingOff, now);
   }
   const auto& response = result.Get<store::LeaseGrantResponse>();
   store_lease_ = response.id;
@@ -198,11 +199,12 @@
   if (response.succeeded) {
     return Hold(response.revision, now);
   }
-  // The key is there. It is ours when an earlier acquisition, taken for lost, arrived late.
+  // The key exists. It belongs to this holder if an earlier acquisition, which seemed lost, arrived
+  // late.
   const auto* range = response.responses.empty()
                           ? nullptr
                           : std::get_if<store::RangeResponse>(&response.responses.front());
-  if (range != nullptr && IsOurs(*range)) {
+  if (range != nullptr && IsOwnKey(*range)) {
     return Hold(range->key_values.front().create_revision, now);
   }
   ReadHolder(now);
@@ -210,16 +212,18 @@
 
 void LeaseHolder::OnResolved(const store::Result& result, base::TimePoint now) {
   if (now >= held_until_) {
-    return ReadHolder(now);  // too late to make use of this store lease
+    return ReadHolder(now);  // too late to use this store lease
   }
   if (!result.IsOk()) {
     return BackOff(State::kResolveLater, now);
   }
   const auto& response = result.Get<store::RangeResponse>();
   if (response.key_values.empty()) {
-    return Acquire(now);  // lost on the way there, or still on the way: both end as ours
+    // The first attempt was lost or is still on its way; a new one is safe, as either creates the
+    // key for this store lease.
+    return Acquire(now);
   }
-  if (IsOurs(response)) {
+  if (IsOwnKey(response)) {
     return Hold(response.key_values.front().create_revision, now);
   }
   ReadHolder(now);
@@ -249,13 +253,13 @@
     return BackOff(State::kHeld, now);
   }
   const auto& response = result.Get<store::RangeResponse>();
-  if (!IsOurs(response)) {
+  if (!IsOwnKey(response)) {
     return MarkLost(now);
   }
   Hold(response.key_values.front().create_revision, now);
 }
 
-bool LeaseHolder::IsOurs(const store::RangeResponse& response) const {
+bool LeaseHolder::IsOwnKey(const store::RangeResponse& response) const {
   return !response.key_values.empty() && response.key_values.front().lease == store_lease_;
 }
 
--- a/libs/lease/tests/lease_holder_test.cpp
+++ b/libs/lease/tests/lease_holder_test.cpp
@@ -45,7 +45,8 @@
     Advance(holder, std::chrono::seconds(4));
     CPPUNIT_ASSERT(holder.View(clock_.Now()).status == LeaseStatus::kLapsed);
     CPPUNIT_ASSERT_EQUAL(FencingToken{}, holder.View(clock_.Now()).token);
-    answer_.reset();  // the store, which did not count time in its outage, still has the lease
+    // The store still has the lease, because its time did not advance in the outage.
+    answer_.reset();
     Advance(holder, std::chrono::seconds(6));
     CPPUNIT_ASSERT(holder.View(clock_.Now()).status == LeaseStatus::kHeld);
     CPPUNIT_ASSERT_EQUAL(token, holder.View(clock_.Now()).token);
@@ -54,7 +55,7 @@
   void DetectsLapseAfterAPause() {
     LeaseHolder holder(Settings(), 1);
     Acquire(holder);
-    clock_.Advance(std::chrono::seconds(20));  // the process stood still: no Tick()
+    clock_.Advance(std::chrono::seconds(20));  // a pause of the process: no Tick()
     CPPUNIT_ASSERT(holder.View(clock_.Now()).status == LeaseStatus::kLapsed);
   }
 
@@ -62,7 +63,7 @@
     LeaseHolder holder(Settings(), 1);
     holder.Campaign(clock_.Now());
     RunNext(holder);  // reads the key
-    RunNext(holder);  // grants
+    RunNext(holder);  // requests the store lease
     const std::vector<LeaseRequest> acquisition = holder.TakeRequests();
     store_.Apply(acquisition.at(0).request, clock_.Now());
     holder.OnResult(acquisition[0].tag, Lost(), clock_.Now());
@@ -108,7 +109,7 @@
     settings.renew_interval = settings.ttl;
     try {
       const LeaseHolder holder(settings, 1);
-      CPPUNIT_FAIL("settings that can't work were taken");
+      CPPUNIT_FAIL("invalid settings were accepted");
     } catch (const base::FindingsError& error) {
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, error.findings().size());
     }
@@ -133,7 +134,7 @@
     return store::Result::Failed(store::Outcome::kUnknown, store::Reason::kConnectionLost, "");
   }
 
-  // Answers the holder's next request; fails the test when there is none.
+  // Answers the next request of the holder; fails the test if there is none.
   void RunNext(LeaseHolder& holder) {
     const std::vector<LeaseRequest> requests = holder.TakeRequests();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, requests.size());
@@ -153,7 +154,8 @@
     CPPUNIT_ASSERT(holder.View(clock_.Now()).status == LeaseStatus::kHeld);
   }
 
-  // Lets time pass and answers what the holder asks. The store's time stands still in an outage.
+  // Advances time and answers the requests of the holder. The store's time doesn't advance in an
+  // outage.
   void Advance(LeaseHolder& holder, base::Duration span) {
     constexpr base::Duration kStep = std::chrono::milliseconds(100);
     for (base::Duration passed{}; passed < span; passed += kStep) {
--- a/libs/routing/include/gaugevalve/routing/agent_report.h
+++ b/libs/routing/include/gaugevalve/routing/agent_report.h
@@ -1,4 +1,4 @@
-// What an agent tells the planner of its service about itself, a few times a second at most.
+// Report of an agent to the planner of its service, sent a few times a second at most.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 // Whether an agent takes new work.
 enum class AgentState : std::uint8_t {
   kServing = 0,
-  kDraining = 1,  // keeps what it has, takes nothing new
+  kDraining = 1,  // keeps its open flows, accepts no new ones
 };
 
 // How many flows an agent holds in one bucket.
@@ -24,7 +24,8 @@
   friend bool operator==(const BucketFlows&, const BucketFlows&) = default;
 };
 
-// One agent's own measures. Its own counts are trusted over what the endpoint says of itself.
+// Measurements of one agent. Its own counts take precedence over what the endpoint reports about
+// itself.
 struct AgentReport {
   base::ServiceId service;
   base::NodeId node;
@@ -32,22 +33,24 @@
   AgentState state = AgentState::kServing;
   TableVersion table_version;  // newest table the agent has
   std::uint32_t open_flows = 0;
-  std::uint32_t busy_slots = 0;   // requests now at the endpoint
-  std::uint32_t total_slots = 0;  // requests the endpoint takes at once
+  std::uint32_t busy_slots = 0;   // requests in progress at the endpoint
+  std::uint32_t total_slots = 0;  // requests that the endpoint processes at once
   std::uint32_t queued_requests = 0;
-  // Slot time in use since the report before, and the time that this covers; 0: not measured, then
-  // `busy_slots` is all there is. The mean is a far better measure than the count of one moment.
+  // Sum of the time for which slots were busy since the previous report, and the length of that
+  // interval. 0: not measured; then only `busy_slots` is available. The mean over the interval is a
+  // far better measure of load than the count at one moment.
   base::Duration busy_slot_time{0};
   base::Duration measured_time{0};
-  base::Duration recent_latency{0};             // smoothed time of an answer at the endpoint
-  base::Duration endpoint_uptime{0};            // since the endpoint last started: cold-start ramp
-  std::uint32_t endpoint_failures = 0;          // since the last report
+  base::Duration recent_latency{0};     // smoothed response time of the endpoint
+  base::Duration endpoint_uptime{0};    // since the endpoint last started; for the cold-start ramp
+  std::uint32_t endpoint_failures = 0;  // since the last report
   std::vector<std::uint32_t> flows_in_buckets;  // index = bucket; open flows held here
 
-  // Grows with each report of a life; 0: not numbered. Travels outside the report's bytes.
+  // Increases with each report of an incarnation; 0: not numbered. It is sent beside the encoded
+  // report, not in it.
   std::uint64_t sequence = 0;
-  // Above 0: `flows_in_buckets` is empty, and `flow_changes` is what may have changed since the
-  // report with this number. See FlowCountEncoder.
+  // Above 0: `flows_in_buckets` is empty, and `flow_changes` holds the buckets that may have
+  // changed since the report with this number. See FlowCountEncoder.
   std::uint64_t flows_base = 0;
   std::vector<BucketFlows> flow_changes{};
 };
--- a/libs/routing/include/gaugevalve/routing/agent_status.h
+++ b/libs/routing/include/gaugevalve/routing/agent_status.h
@@ -1,4 +1,4 @@
-// What the planner is told about one agent by membership and settings.
+// State of one agent as the planner gets it from membership and settings.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 enum class AgentLiveness : std::uint8_t {
   kLive = 0,     // owns buckets and opens flows
   kLeaving = 1,  // keeps its flows, gets no new ones
-  kDead = 2,     // declared dead; may still run unseen
+  kDead = 2,     // declared dead by membership; its process may still run
 };
 
 // One agent of a service as membership and settings know it.
--- a/libs/routing/include/gaugevalve/routing/agent_view.h
+++ b/libs/routing/include/gaugevalve/routing/agent_view.h
@@ -1,4 +1,4 @@
-// A live agent as the share policies see it.
+// Input of the share policies about a live agent.
 #pragma once
 
 #include <cstddef>
@@ -10,16 +10,18 @@
 
 namespace gaugevalve::routing {
 
-// Smoothed measures of one live agent at the time of a planning step.
+// Smoothed measurements of one live agent at the time of a planning step.
 struct AgentView {
   base::NodeId node;
   std::string zone;
-  double weight = 1.0;               // from the settings
-  double utilisation = 0.0;          // smoothed (busy + queued) / slots, or flows / capacity
-  double report_weight = 0.0;        // 1 for a fresh report, 0 for none or one timed out
-  double flow_utilisation = 0.0;     // open flows / flow capacity, as last reported
-  double failure_rate = 0.0;         // smoothed failures of the endpoint a second
-  base::Duration endpoint_uptime{};  // since the endpoint started, as far as is known
+  double weight = 1.0;       // from the settings
+  double utilisation = 0.0;  // smoothed (busy + queued) / slots, or flows / capacity
+  // 1 for a fresh report, falls to 0 at the report timeout; 0 without a report.
+  double report_weight = 0.0;
+  double flow_utilisation = 0.0;  // open flows / flow capacity, as last reported
+  double failure_rate = 0.0;      // smoothed failures of the endpoint a second
+  // Since the endpoint started or, without a report, since the agent was first seen.
+  base::Duration endpoint_uptime{};
 };
 
 }  // namespace gaugevalve::routing
--- a/libs/routing/include/gaugevalve/routing/assignment_policy.h
+++ b/libs/routing/include/gaugevalve/routing/assignment_policy.h
@@ -1,4 +1,4 @@
-// The narrow interface behind which buckets are matched to shares.
+// Interface of the policies that assign buckets to agents.
 #pragma once
 
 #include <cstddef>
@@ -19,11 +19,11 @@
   double share = 0.0;  // 0 or above; only ratios count
 };
 
-// One bucket as the assignment sees it.
+// One bucket as input of an assignment.
 struct AssignmentBucket {
-  base::NodeId owner;                               // value 0: nobody
-  std::string owner_zone;                           // empty when the owner is gone
-  bool owner_alive = false;                         // live or leaving: it may hold flows
+  base::NodeId owner;                               // value 0: none
+  std::string owner_zone;                           // empty if the table doesn't list the owner
+  bool owner_alive = false;                         // live or leaving, so it may hold flows
   std::uint32_t flows_at_owner = 0;                 // as last reported
   std::span<const base::NodeId> previous_owners{};  // valid during the call
 };
@@ -36,11 +36,11 @@
   friend bool operator==(const BucketMove&, const BucketMove&) = default;
 };
 
-// What an assignment decided.
+// Result of an assignment.
 struct Assignment {
   std::vector<BucketMove> forced;    // away from owners that aren't candidates
   std::vector<BucketMove> optional;  // to meet the shares, within the allowance
-  std::size_t blocked = 0;           // forced moves that a full chain doesn't allow now
+  std::size_t blocked = 0;           // forced moves that are not possible while the chain is full
 };
 
 // Chooses which buckets move. Pure: the same input gives the same moves on every node.
--- a/libs/routing/include/gaugevalve/routing/cold_start_ramp.h
+++ b/libs/routing/include/gaugevalve/routing/cold_start_ramp.h
@@ -7,11 +7,11 @@
 
 namespace gaugevalve::routing {
 
-// Scales an agent's share by the part of the ramp its endpoint has behind it, in equal steps, so
-// that the table changes `steps` times and not with every second. The first step is above zero.
+// Scales an agent's share by the elapsed part of its endpoint's ramp, in equal steps, so that the
+// table changes `steps` times rather than every second. The first step is above zero.
 class ColdStartRamp final : public SharePolicy {
  public:
-  // A ramp of length zero, or of no steps, is off.
+  // A ramp of zero length or without steps is disabled.
   ColdStartRamp(base::Duration ramp, std::uint32_t steps) : ramp_(ramp), steps_(steps) {}
 
   void Adjust(std::span<const AgentView> agents, base::TimePoint now,
--- a/libs/routing/include/gaugevalve/routing/dead_agent_hold.h
+++ b/libs/routing/include/gaugevalve/routing/dead_agent_hold.h
@@ -1,4 +1,4 @@
-// Agents that were declared dead and may still run, cut off from control but not from balancers.
+// Hold period for the buckets of agents that were declared dead but may still run.
 #pragma once
 
 #include <map>
@@ -12,36 +12,41 @@
 
 namespace gaugevalve::routing {
 
-// Remembers until when such an agent may open flows by the table that it has: its buckets are
-// nobody else's until then. One entry for each agent of the service at most. Not thread-safe.
+// An agent that was declared dead may still run, isolated from the control plane but reachable by
+// balancers, and may open flows by its last table until that table is too old. This class tracks
+// the time until which the buckets of each such agent must not be reassigned. It holds at most one
+// entry for each agent of the service. Not thread-safe.
 class DeadAgentHold {
  public:
-  // `length`: time for which an agent may go on opening flows after an answer.
+  // `length`: time for which an agent may continue to open flows after an answer.
   explicit DeadAgentHold(base::Duration length) : length_(length) {}
 
-  // Notes that a report of this life of the agent is answered now.
+  // Records that a report of this incarnation of the agent is answered now.
   void NoteAnswered(base::NodeId node, base::Incarnation incarnation, base::TimePoint now);
 
-  // Notes that this life of the agent has ended for sure: it needs no wait.
+  // Records that this incarnation of the agent left the group itself, so that its buckets need no
+  // hold.
   void NoteGracefulLeave(base::NodeId node, base::Incarnation incarnation);
 
-  // Takes the service's agents; `former` are those that the table lists. Of these the ones that are
-  // missing now are held, and all that are dead: a table that was taken over needn't list them. One
-  // of which another life is known isn't held, as that proves the end of the former life. When no
-  // answer to an agent is known here, another planner may have answered it until now.
+  // Updates the holds. `agents` are the agents of the service, `former` those that the table lists.
+  // An agent of `former` that is missing in `agents` is held, and so is every dead one in `agents`,
+  // because a table that was taken over may not list it. An agent is not held if another
+  // incarnation of it is known, which proves that the former one has ended. If no answer to an
+  // agent is recorded here, the hold counts from `now`, because another planner may have answered
+  // the agent until now.
   void Update(const std::vector<AgentEntry>& former, const std::vector<AgentStatus>& agents,
               base::TimePoint now);
 
-  // Forgets all whose time is over; returns whether there was one.
+  // Ends the holds that have expired; returns whether there was one.
   bool Release(base::TimePoint now);
 
   // Tells whether the agent is held.
   bool Holds(base::NodeId node) const { return held_.contains(node); }
 
-  // Returns when Release() is next due; nothing when nobody is held.
+  // Returns the time at which Release() is next due; nothing if no agent is held.
   std::optional<base::TimePoint> NextRelease() const;
 
-  // Appends those that are held, in order of their nodes.
+  // Appends the entries of the held agents, sorted by node.
   void AppendTo(std::vector<AgentEntry>& entries) const;
 
  private:
@@ -58,8 +63,8 @@
   base::TimePoint LastAnswer(const AgentEntry& agent, base::TimePoint otherwise) const;
 
   base::Duration length_;
-  std::map<base::NodeId, Answer> answers_;           // of agents that are there or held
-  std::map<base::NodeId, base::Incarnation> ended_;  // lives that open nothing any more
+  std::map<base::NodeId, Answer> answers_;           // of agents that are known or held
+  std::map<base::NodeId, base::Incarnation> ended_;  // incarnations that can open no flows any more
   std::map<base::NodeId, Held> held_;
 };
 
--- a/libs/routing/include/gaugevalve/routing/flow_cache.h
+++ b/libs/routing/include/gaugevalve/routing/flow_cache.h
@@ -1,4 +1,4 @@
-// The flow cache of a conventional balancer, for the Maglev baseline.
+// Flow cache of a conventional balancer, for the Maglev baseline.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +11,18 @@
 
 namespace gaugevalve::routing {
 
-// Remembers which agent a flow went to. When full, the least recently used flow is forgotten. Not
-// thread-safe.
+// Maps flows to the agents that they were sent to. When the cache is full, the least recently used
+// flow is evicted. Not thread-safe.
 class FlowCache {
  public:
   // `capacity` is above 0.
   explicit FlowCache(std::size_t capacity) : capacity_(capacity) {}
 
-  // Returns the agent of the flow and marks it as used.
+  // Returns the agent of the flow and marks the flow as used.
   std::optional<base::NodeId> Find(std::uint64_t flow_key_hash);
 
-  // Remembers the agent of a flow.
   void Insert(std::uint64_t flow_key_hash, base::NodeId agent);
 
-  // Forgets a flow.
   void Erase(std::uint64_t flow_key_hash);
 
  private:
--- a/libs/routing/include/gaugevalve/routing/flow_chooser.h
+++ b/libs/routing/include/gaugevalve/routing/flow_chooser.h
@@ -1,4 +1,4 @@
-// Ways of choosing an agent at a balancer without bucket tables: the baselines we measure against.
+// Baseline algorithms by which a balancer chooses agents without bucket tables.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,9 @@
 
 namespace gaugevalve::routing {
 
-// Chooses the agent of a datagram from its flow key's hash and the agents this balancer knows. Each
-// balancer has its own. Not used by the product: the emulator compares it with these in one run.
+// Chooses the agent of a datagram from the hash of its flow key and the agents that this balancer
+// knows. Each balancer has its own instance. Not used in production: the emulator compares bucket
+// tables with these algorithms in one run.
 class FlowChooser {
  public:
   virtual ~FlowChooser() = default;
@@ -20,23 +21,22 @@
   // Replaces the agents, which are distinct and sorted.
   virtual void SetAgents(std::span<const base::NodeId> agents) = 0;
 
-  // Returns the agent; nothing when there is none.
+  // Returns the agent; nothing if there are no agents.
   virtual std::optional<base::NodeId> Choose(std::uint64_t flow_key_hash) = 0;
 };
 
-// The baselines by name.
 enum class ChooserKind : std::uint8_t {
   kModulo = 0,      // hash mod number of agents
   kMaglev = 1,      // Maglev's look-up table and a flow cache on each balancer
   kRendezvous = 2,  // highest random weight
-  kRandom = 3,      // any, for each datagram anew
+  kRandom = 3,      // a random agent for each datagram
 };
 
 // Returns the name used in reports, as in "maglev".
 std::string_view ToString(ChooserKind kind);
 
-// Makes a chooser. `seed` is for kRandom; `cache_capacity` is the most flows that kMaglev's cache
-// holds, the least recently used making room.
+// Makes a chooser. `seed` is for kRandom. `cache_capacity` is the maximum number of flows in the
+// cache of kMaglev, which evicts the least recently used.
 std::unique_ptr<FlowChooser> MakeFlowChooser(ChooserKind kind, std::uint64_t seed,
                                              std::size_t cache_capacity);
 
--- a/libs/routing/include/gaugevalve/routing/freshness.h
+++ b/libs/routing/include/gaugevalve/routing/freshness.h
@@ -1,4 +1,5 @@
-// The times by which agents and planners agree on who may open flows without hearing of each other.
+// Time limits by which agents and planners agree, without a message, on which agents may open
+// flows.
 #pragma once
 
 #include <chrono>
@@ -7,13 +8,13 @@
 
 namespace gaugevalve::routing {
 
-// An agent opens no flow once its table was last confirmed longer ago than this: confirmed at the
-// time at which it sent a report that a planner answered.
+// An agent opens no flows when its table was last confirmed longer ago than this. An answer of the
+// planner to a report confirms the table as of the time at which the agent sent the report.
 inline constexpr base::Duration kFreshnessLimit = std::chrono::milliseconds(2500);
 
-// How long a planner holds the buckets of an agent that was declared dead, counted from the last
-// answer that the planner gave it. Longer than the limit by 4 %, far more than two monotonic clocks
-// differ in rate.
+// Time for which a planner holds the buckets of an agent that was declared dead, counted from its
+// last answer to the agent. It is 4 % longer than kFreshnessLimit, which is far more than the
+// difference in rate of two monotonic clocks.
 inline constexpr base::Duration kDeadAgentHold = std::chrono::milliseconds(2600);
 
 static_assert(kDeadAgentHold > kFreshnessLimit);
--- a/libs/routing/include/gaugevalve/routing/maglev_table.h
+++ b/libs/routing/include/gaugevalve/routing/maglev_table.h
@@ -10,11 +10,11 @@
 
 namespace gaugevalve::routing {
 
-// Size of the table: a prime, well above 100 times the agents of a service.
+// Size of the table: a prime well above 100 times the number of agents of a service.
 inline constexpr std::size_t kMaglevTableSize = 65'537;
 
-// Returns the table for these agents, which aren't empty: each agent in turn takes the next free
-// place of its own permutation of the table until it is full.
+// Returns the table for `agents`, which must not be empty. The agents take turns; each takes the
+// next free entry of its own permutation of the table until the table is full.
 std::vector<base::NodeId> MakeMaglevTable(std::span<const base::NodeId> agents,
                                           std::size_t table_size = kMaglevTableSize);
 
--- a/libs/routing/include/gaugevalve/routing/move_budget.h
+++ b/libs/routing/include/gaugevalve/routing/move_budget.h
@@ -1,4 +1,4 @@
-// A bound on moves over time.
+// Rate limit for bucket moves.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +13,18 @@
 class MoveBudget {
  public:
   MoveBudget(std::uint32_t per_step, std::uint32_t per_minute)
-      : per_step_(per_step), per_minute_(per_minute), saved_(per_minute) {}
+      : per_step_(per_step), per_minute_(per_minute), tokens_(per_minute) {}
 
   // Returns how many moves are allowed at `now`. Time mustn't go backwards.
   std::size_t Available(base::TimePoint now);
 
-  // Takes `moves` off; at most what Available() returned.
-  void Spend(std::size_t moves) { saved_ -= static_cast<double>(moves); }
+  // Consumes `moves` from the budget; at most what Available() returned.
+  void Spend(std::size_t moves) { tokens_ -= static_cast<double>(moves); }
 
  private:
   std::uint32_t per_step_;
   std::uint32_t per_minute_;
-  double saved_;
+  double tokens_;
   base::TimePoint refilled_at_{};
 };
 
--- a/libs/routing/include/gaugevalve/routing/outlier_ejection.h
+++ b/libs/routing/include/gaugevalve/routing/outlier_ejection.h
@@ -1,4 +1,5 @@
-// Outlier ejection: an endpoint that fails far more than its peers gets no new flows for a while.
+// Outlier ejection: an endpoint that fails far more often than its peers gets no new flows for a
+// time.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +10,26 @@
 namespace gaugevalve::routing {
 
 // Sets the share of failing agents to zero. At most `max_ejected_share` of the live agents (rounded
-// down) are out at once, the worst first: when most of a service fails, the fault is likely not
-// theirs and ejecting them would only overload the rest. State: one entry per agent seen failing;
-// entries of agents no longer live are dropped.
+// down) are ejected at once, the worst first: when most of a service fails, the cause is likely
+// outside of the agents, and ejecting them would only overload the others. State: one entry for
+// each agent seen failing; entries of agents that are no longer live are removed.
 class OutlierEjection final : public SharePolicy {
  public:
-  // `failure_rate` in failures a second; `ejection_time` grows with each ejection in a row.
+  // `failure_rate` is in failures a second. An ejection lasts `ejection_time` times the number of
+  // consecutive ejections.
   OutlierEjection(double failure_rate, base::Duration ejection_time, double max_ejected_share);
 
   void Adjust(std::span<const AgentView> agents, base::TimePoint now,
               std::span<double> shares) override;
 
-  // Returns how many agents are out since the last call of Adjust().
+  // Returns how many agents the last call of Adjust() left ejected.
   std::size_t EjectedCount() const;
 
  private:
   struct Record {
     bool ejected = false;
     base::TimePoint until{};
-    std::uint32_t ejections_in_a_row = 0;
+    std::uint32_t consecutive_ejections = 0;
   };
 
   void RemoveAbsent(std::span<const AgentView> agents);
--- a/libs/routing/include/gaugevalve/routing/report_store.h
+++ b/libs/routing/include/gaugevalve/routing/report_store.h
@@ -1,4 +1,4 @@
-// The newest report of each agent, checked and smoothed.
+// Store of the newest report of each agent, with smoothed measurements.
 #pragma once
 
 #include <cstddef>
@@ -13,31 +13,32 @@
 
 namespace gaugevalve::routing {
 
-// What became of a report.
+// Result of handling a report.
 enum class ReportOutcome : std::uint8_t {
   kAccepted = 0,
   kWrongService = 1,
   kUnknownAgent = 2,      // not among the service's agents
-  kOtherIncarnation = 3,  // another life of the agent than membership knows
-  kStale = 4,             // names an older table than an earlier report of the same life
-  kFutureTable = 5,       // names a table newer than the planner's own: the planner is superseded
-  kWrongBucketCount = 6,  // neither empty nor one count for each bucket, or a bucket isn't there
-  kNeedsFullReport = 7,   // builds on a report that isn't known: a whole one is needed
+  kOtherIncarnation = 3,  // isn't the incarnation that membership knows
+  kStale = 4,             // older than a report that was accepted from the same incarnation
+  kFutureTable = 5,  // names a table newer than the planner's: another planner has superseded it
+  kWrongBucketCount = 6,  // has flow counts, but not one for each bucket
+  kNeedsFullReport = 7,   // is relative to a report that isn't stored; a full report is needed
 };
 
-// Keeps one report for each known agent: bounded by the service's agents. Reports are the agents'
-// own counts; what an endpoint says of itself never gets here. Not thread-safe.
+// Stores the newest report of each known agent; bounded by the number of agents of the service.
+// Reports hold the agents' own counts only, never figures that endpoints report about themselves.
+// Not thread-safe.
 class ReportStore {
  public:
-  // `smoothing_time`: time constant of the smoothing; `report_timeout`: age at which a report has
-  // no say any more. Both above zero.
+  // `smoothing_time`: time constant of the smoothing. `report_timeout`: age at which a report has
+  // no weight any more. Both must be above zero.
   ReportStore(base::Duration smoothing_time, base::Duration report_timeout);
 
-  // Keeps the report of `status`'s agent. The caller has checked service, incarnation and sizes.
-  // Returns kAccepted, kStale or kNeedsFullReport.
-  ReportOutcome Take(const AgentReport& report, base::TimePoint now);
+  // Stores the report. The caller has checked its service, incarnation and sizes. Returns
+  // kAccepted, kStale or kNeedsFullReport.
+  ReportOutcome Accept(const AgentReport& report, base::TimePoint now);
 
-  // Forgets all agents for which `keep(node, incarnation)` is false.
+  // Removes all agents for which `keep(node, incarnation)` is false.
   template <class Predicate>
   void Retain(const Predicate& keep) {
     std::erase_if(records_, [&](const auto& entry) {
@@ -48,10 +49,11 @@
   // Returns the newest report of this agent, or null. Valid until the next change.
   const AgentReport* Find(base::NodeId node) const;
 
-  // Returns the open flows the agent reported in the bucket; nothing when it didn't say.
+  // Returns the open flows that the agent reported in the bucket; nothing if it reported none of
+  // its counts.
   std::optional<std::uint32_t> FlowsInBucket(base::NodeId node, std::size_t bucket) const;
 
-  // Fills the measured fields of the agent's view at `now`.
+  // Returns the agent as share policies see it at `now`.
   AgentView View(const AgentStatus& status, base::TimePoint first_seen, base::TimePoint now) const;
 
  private:
@@ -62,7 +64,8 @@
     double failure_rate = 0.0;      // smoothed, failures a second
   };
 
-  // Returns the flows that the report tells of, whole; nothing when what it builds on isn't known.
+  // Returns the flow counts of all buckets as of the report; nothing if the report that it is
+  // relative to isn't stored.
   std::optional<std::vector<std::uint32_t>> FullFlowCounts(const AgentReport& report) const;
   double ReportWeight(const Record& record, base::TimePoint now) const;
 
--- a/libs/routing/include/gaugevalve/routing/service_planner.h
+++ b/libs/routing/include/gaugevalve/routing/service_planner.h
@@ -1,4 +1,4 @@
-// The planner of one service: decides which agent owns which bucket.
+// Planner of one service: decides which agent owns which bucket.
 #pragma once
 
 #include <cstddef>
@@ -22,127 +22,132 @@
 
 namespace gaugevalve::routing {
 
-// The rules a planner goes by. Tests and the emulator leave out or replace single ones.
+// Policies of a planner. Tests and the emulator omit or replace single ones.
 struct PlannerPolicies {
   std::vector<std::unique_ptr<SharePolicy>> shares;  // applied in this order
   std::unique_ptr<AssignmentPolicy> assignment;
 };
 
-// Returns the rules for these settings: cold start, outlier ejection, zones, steering, and
-// assignment with minimal movement.
+// Returns the policies for these settings: cold start, outlier ejection, zone preference, load
+// steering, and assignment with minimal movement.
 PlannerPolicies MakePlannerPolicies(const PlannerSettings& settings);
 
-// The rules that keep flows in place. All are always on in the product; proofs switch one off to
-// show that they would notice.
+// Rules that protect established flows. All are on in production. Proofs disable single rules to
+// show that they detect the resulting faults.
 struct PlannerMechanisms {
-  bool keep_previous_owner = true;      // in the chain, when a bucket moves
-  bool current_reports_only = true;     // shorten a chain
+  bool keep_previous_owner = true;      // put the old owner into the chain when a bucket moves
+  bool current_reports_only = true;     // only reports of the current version shorten a chain
   bool restore_flow_holders = true;     // put agents that report flows back into the chain
-  bool restamp_on_take_over = true;     // new versions and full chains for every bucket
-  bool hold_dead_agent_buckets = true;  // until an agent cut off from control opens nothing
+  bool restamp_on_take_over = true;     // new version and full chain for every bucket
+  bool hold_dead_agent_buckets = true;  // until an agent isolated from control can open no flows
 };
 
 // Counts since the planner was made, for metrics.
 struct PlannerCounters {
   std::uint64_t deltas = 0;
   std::uint64_t forced_moves = 0;    // away from dead or leaving owners
-  std::uint64_t optional_moves = 0;  // steering, ramps, weights, zones
+  std::uint64_t optional_moves = 0;  // moves for steering, ramps, weights and zones
   std::uint64_t chain_updates = 0;   // buckets whose chain changed without a move
-  std::uint64_t blocked_moves = 0;   // forced moves put off because the chain was full
+  std::uint64_t blocked_moves = 0;   // forced moves postponed because the chain was full
   std::uint64_t reports_refused = 0;
 };
 
 // Decision core `(event, now) -> optional table delta` of one service. It holds the service's table
-// and is its only writer while its (epoch, generation) is the newest; the caller sees to that.
+// and is the only writer of it while its (epoch, generation) is the newest, which the caller
+// ensures.
 //
-// What it keeps to:
-// - Every bucket is owned by a live agent while there is one; with none alive the last table stays.
-// - A previous owner stays in a bucket's chain until a report of it that names the bucket's present
-//   version, or a later one, shows no flow there, or it is dead. The chain has no duplicates and at
-//   most kMaxPreviousOwners members; a bucket with a full chain only goes back to one of them.
-// - An alive agent that reports flows in a bucket that doesn't name it is put (back) in the chain:
-//   so an agent wrongly taken for dead gets its flows back.
-// - After a take-over nothing is decided until every live agent has reported, or a time limit. The
-//   former planner may have published more than the table taken over, so anyone may own anything:
-//   every bucket then gets a new version, and its chain is filled with the other agents. They leave
-//   it with their next report of no flow. Reports from before shorten no chain. In a service of
-//   more than kMaxPreviousOwners + 1 agents those with the most flows in the bucket are taken.
-// - An agent that was declared dead, or is missing, may still run, cut off from control but not
-// from
-//   balancers. Its buckets stay as they are, and it stays in chains, until PlannerSettings'
-//   `dead_agent_hold` after the last answer to it. There is no wait after its farewell, or when
-//   another life of it is there. Whoever takes over must be told of the agents that died during
-//   that time before: the table it takes over needn't list them.
-// - Moves that aren't forced by a dead or leaving owner are bounded per step and per minute.
+// Invariants:
+// - Every bucket is owned by a live agent while there is one. Without live agents the last table
+//   stays.
+// - A previous owner stays in the chain of a bucket until it is dead, or until it reports no flow
+//   in the bucket in a report that names the bucket's present version or a later one. A chain has
+//   no duplicates and at most kMaxPreviousOwners members; a bucket with a full chain only moves
+//   back to one of them.
+// - A live agent that reports flows in a bucket that doesn't list it is put into the chain. An
+//   agent that was wrongly declared dead thus gets its flows back.
+// - After a take-over nothing is decided until every live agent has reported or a time limit has
+//   passed. The former planner may have published newer tables than the one taken over, so any
+//   agent may own any bucket. Every bucket therefore gets a new version, and its chain is filled
+//   with the other agents, each of which leaves it with its next report of no flow. Reports from
+//   before the take-over shorten no chain. In a service of more than kMaxPreviousOwners + 1 agents,
+//   those with the most flows in the bucket are chosen.
+// - An agent that was declared dead or is missing may still run, isolated from control but not from
+//   balancers. It keeps its buckets and its places in chains until `dead_agent_hold` of
+//   PlannerSettings after the last answer to it. There is no wait if it left the group itself or if
+//   another incarnation of it is known. A planner that takes over must be told of the agents that
+//   died during that time before, because the table that it takes over may not list them.
+// - Moves that aren't forced by a dead or leaving owner are limited per step and per minute.
 //
-// Memory: one table, one report for each agent. Not thread-safe; time mustn't go backwards.
+// Memory: one table, and one report for each agent. Not thread-safe; time mustn't go backwards.
 class ServicePlanner {
  public:
-  // `epoch` and `generation` stamp every delta, see TableVersion.
+  // `epoch` and `generation` are part of the version of every delta, see TableVersion.
   ServicePlanner(base::ServiceId service, std::uint64_t epoch, std::uint32_t generation,
                  const PlannerSettings& settings);
 
-  // The same with other rules than MakePlannerPolicies(settings).
+  // Constructs a planner with other policies than MakePlannerPolicies(settings).
   ServicePlanner(base::ServiceId service, std::uint64_t epoch, std::uint32_t generation,
                  PlannerSettings settings, PlannerPolicies policies);
 
-  // For proofs: must be called before anything else.
+  // For proofs. Must be called before any other method.
   void SetMechanisms(const PlannerMechanisms& mechanisms) { mechanisms_ = mechanisms; }
 
-  // Goes on from a former planner's table instead of from none. Call before the first SetAgents().
-  // Throws std::invalid_argument when the table is another service's, has no buckets, or isn't
-  // older than (epoch, generation, 1).
+  // Continues from a former planner's table. Must be called before the first SetAgents(). Throws
+  // std::invalid_argument if the table belongs to another service, has no buckets, or isn't older
+  // than (epoch, generation, 1).
   void TakeOver(BucketTable table);
 
-  // Replaces the list of the service's agents. One that is missing counts as declared dead. When
-  // two entries name one node the larger incarnation counts.
+  // Replaces the list of the service's agents. A missing agent counts as declared dead. If two
+  // entries have the same node, the larger incarnation counts.
   void SetAgents(std::vector<AgentStatus> agents, base::TimePoint now);
 
-  // Takes an agent's report.
   ReportOutcome HandleReport(const AgentReport& report, base::TimePoint now);
 
   // Tells whether a report with this outcome may be answered. The answer lets the agent open flows
-  // for a while, so no agent that was declared dead gets one, nor any by a superseded planner.
+  // for a time. Therefore no agent that was declared dead gets one, and a superseded planner gives
+  // none.
   static bool MayAnswer(ReportOutcome outcome);
 
-  // Notes that a report of this life of an agent is answered now. Without it an agent that is
-  // declared dead is taken for one that was answered just before.
+  // Records that a report of this incarnation of an agent is answered now. Without a record, an
+  // agent that is declared dead counts as answered just before.
   void NoteAnswered(base::NodeId node, base::Incarnation incarnation, base::TimePoint now);
 
-  // Notes that this life of an agent said farewell, before SetAgents() leaves it out.
+  // Records that this incarnation of an agent left the group itself. Must be called before
+  // SetAgents() omits it.
   void NoteGracefulLeave(base::NodeId node, base::Incarnation incarnation);
 
-  // Decides what changes at `now`. Call it after events and at least once a step interval. Returns
-  // the delta to spread; table() already has it applied.
+  // Decides what changes at `now`. Must be called after events and at least once per step interval.
+  // Returns the delta to publish; Table() already contains it.
   std::optional<TableDelta> Step(base::TimePoint now);
 
-  // The present table; valid until the next TakeOver() or Step().
+  // Returns the current table; valid until the next TakeOver() or Step().
   const BucketTable& Table() const { return table_; }
 
-  // Returns the version from which on every table of this planner's lists this life of the agent,
-  // or the present one when it isn't listed. An agent that has this table or a later one needs no
-  // newer one before it may open flows: a bucket that was moved since keeps it in its chain until
-  // the agent itself reports that it has the table that says so.
+  // Returns the version of the first table since which every table of this planner lists this
+  // incarnation of the agent, or the current version if it isn't listed. An agent with this table
+  // or a later one needs no newer table before it may open flows: a bucket that was moved since
+  // keeps the agent in its chain until the agent itself reports that it has the table with the
+  // move.
   TableVersion ListedSince(base::NodeId node, base::Incarnation incarnation) const;
 
-  // Returns when the buckets of a dead agent are next free to be given away; nothing when none
-  // wait.
+  // Returns the time at which the next hold on the buckets of a dead agent ends; nothing if there
+  // is none.
   std::optional<base::TimePoint> NextRelease() const { return dead_agents_.NextRelease(); }
 
-  // Returns the newest report of an agent, or null; its flows are whole. Valid until the next
+  // Returns the newest report of an agent with its full flow counts, or null. Valid until the next
   // change.
   const AgentReport* NewestReport(base::NodeId node) const { return reports_.Find(node); }
 
   const PlannerCounters& Counters() const { return counters_; }
 
  private:
-  // Since when this planner knows a life of an agent.
-  struct Life {
+  // Time since which this planner knows an incarnation of an agent.
+  struct KnownIncarnation {
     base::Incarnation incarnation;
     base::TimePoint first_seen;
   };
 
-  // Since which table this planner lists a life of an agent without a break.
+  // Version since which every table of this planner lists an incarnation of an agent.
   struct Listing {
     base::Incarnation incarnation;
     TableVersion since;
@@ -180,12 +185,12 @@
   BucketTable table_;
   std::vector<AgentStatus> agents_;  // sorted by node
   std::map<base::NodeId, Listing> listings_;
-  std::map<base::NodeId, Life> known_incarnations_;
+  std::map<base::NodeId, KnownIncarnation> known_incarnations_;
   ReportStore reports_;
   DeadAgentHold dead_agents_;
   MoveBudget budget_;
-  bool took_over_ = false;                     // and hasn't decided anything since
-  std::optional<base::TimePoint> settled_at_;  // the latest time to wait for reports until
+  bool took_over_ = false;                     // and hasn't changed the table since
+  std::optional<base::TimePoint> settled_at_;  // end of the wait for reports after a take-over
   bool urgent_ = true;                         // the agents changed since the last step
   base::TimePoint next_step_{};
   PlannerCounters counters_;
--- a/libs/routing/include/gaugevalve/routing/share_policy.h
+++ b/libs/routing/include/gaugevalve/routing/share_policy.h
@@ -1,4 +1,4 @@
-// The narrow interface behind which every rule on "how much of the new flows for whom" stands.
+// Interface of the policies that adjust the agents' shares of new flows.
 #pragma once
 
 #include <span>
--- a/libs/routing/include/gaugevalve/routing/table_version.h
+++ b/libs/routing/include/gaugevalve/routing/table_version.h
@@ -1,4 +1,4 @@
-// The order of a service's bucket tables.
+// Version of a service's bucket table.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 struct TableVersion {
   std::uint64_t epoch = 0;       // store revision of the coordinator's lease: the fencing token
   std::uint32_t generation = 0;  // planner take-overs within the epoch
-  std::uint32_t sequence = 0;    // deltas of one planner
+  std::uint32_t sequence = 0;    // number of the delta by one planner
 
   friend auto operator<=>(const TableVersion&, const TableVersion&) = default;
 
--- a/libs/routing/include/gaugevalve/routing/zone_preference.h
+++ b/libs/routing/include/gaugevalve/routing/zone_preference.h
@@ -1,4 +1,4 @@
-// Zone awareness: near zones first, the others before the near ones are overloaded.
+// Zone preference: new flows go to the preferred zones up to a utilisation bound.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 namespace gaugevalve::routing {
 
 // Keeps a service's new flows in the preferred zones until their utilisation would pass a bound,
-// and gives the agents of other zones only the surplus. Utilisation is that of the agents' own
-// reports; while the preferred zones have no live agent, the others take all.
+// and gives the agents of other zones only the surplus. Utilisation comes from the agents' own
+// reports. While the preferred zones have no live agent, the other zones get all new flows.
 class ZonePreference final : public SharePolicy {
  public:
-  // `spill_utilisation` is in (0, 1]. No preferred zones: the policy changes nothing.
+  // `spill_utilisation` is in (0, 1]. Without preferred zones the policy changes nothing.
   ZonePreference(std::vector<std::string> preferred_zones, double spill_utilisation);
 
   void Adjust(std::span<const AgentView> agents, base::TimePoint now,
--- a/libs/routing/src/bucket_columns.cpp
+++ b/libs/routing/src/bucket_columns.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxBuckets = std::numeric_limits<std::uint16_t>::max();
 
-// Hands out the numbers under which a message names its nodes.
+// Assigns the numbers that stand for nodes in a message.
 class NodeNumbers {
  public:
   NodeNumbers(const std::vector<AgentEntry>& agents, proto::BucketColumns& message)
@@ -105,7 +105,7 @@
     const bool twice = std::find(bucket.previous_owners.begin(), bucket.previous_owners.end(),
                                  node) != bucket.previous_owners.end();
     if (twice || node == bucket.owner || node == base::NodeId()) {
-      throw DecodeError("buckets: a chain names an agent twice, its owner or nobody");
+      throw DecodeError("buckets: a chain holds an agent twice, the bucket's owner or node 0");
     }
     bucket.previous_owners.push_back(node);
   }
@@ -151,7 +151,7 @@
                               const std::vector<AgentEntry>& agents) {
   const int count = message.owners_size();
   if (count > static_cast<int>(kMaxBuckets)) {
-    throw DecodeError("buckets: too many");
+    throw DecodeError("buckets: too many entries");
   }
   if (message.version_numbers_size() != count || message.chain_lengths_size() != count) {
     throw DecodeError("buckets: the columns differ in length");
--- a/libs/routing/src/bucket_columns.h
+++ b/libs/routing/src/bucket_columns.h
@@ -1,4 +1,4 @@
-// The column form of buckets in messages, see routing.proto.
+// Column encoding of buckets in messages, see routing.proto.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,6 @@
 
 namespace gaugevalve::routing {
 
-// Writes and reads the version fields.
 void ToProto(const TableVersion& version, proto::TableVersion& message);
 TableVersion FromProto(const proto::TableVersion& message);
 
@@ -16,7 +15,7 @@
 void ToProto(const std::vector<const Bucket*>& buckets, const std::vector<AgentEntry>& agents,
              proto::BucketColumns& message);
 
-// Returns the checked buckets. Throws DecodeError.
+// Decodes and checks the buckets. Throws DecodeError.
 std::vector<Bucket> FromProto(const proto::BucketColumns& message,
                               const std::vector<AgentEntry>& agents);
 
--- a/libs/routing/src/bucket_table.cpp
+++ b/libs/routing/src/bucket_table.cpp
@@ -12,7 +12,7 @@
             [](const AgentEntry& left, const AgentEntry& right) { return left.node < right.node; });
 }
 
-// Returns the positions of the agents, best rendezvous weight for this bucket first.
+// Returns the positions of the agents, sorted by falling rendezvous weight for this bucket.
 std::vector<std::size_t> RankAgents(base::ServiceId service, std::size_t bucket,
                                     const std::vector<AgentEntry>& agents) {
   const std::uint64_t bucket_seed = base::HashPair(service.value(), bucket);
@@ -82,7 +82,7 @@
   if (table.agents.empty()) {
     return table;
   }
-  // No agent takes more than the even share, rounded up; a full one's buckets go to the next in
+  // No agent owns more than the even share, rounded up. Further buckets go to the next agent in
   // rank.
   const std::size_t agent_count = table.agents.size();
   const std::size_t most = (bucket_count + agent_count - 1) / agent_count;
--- a/libs/routing/src/cold_start_ramp.cpp
+++ b/libs/routing/src/cold_start_ramp.cpp
@@ -16,8 +16,8 @@
     return 1.0;
   }
   const base::Duration known_age = std::max(age, base::Duration::zero());
-  const auto steps_behind = known_age.count() * steps_ / ramp_.count();
-  return static_cast<double>(steps_behind + 1) / (steps_ + 1);
+  const auto completed_steps = known_age.count() * steps_ / ramp_.count();
+  return static_cast<double>(completed_steps + 1) / (steps_ + 1);
 }
 
 }  // namespace gaugevalve::routing
--- a/libs/routing/src/dead_agent_hold.cpp
+++ b/libs/routing/src/dead_agent_hold.cpp
@@ -12,7 +12,8 @@
   return found == agents.end() ? nullptr : &*found;
 }
 
-// Tells whether the status says that this life of the agent may still run, unknown to others.
+// Tells whether this incarnation of the agent may still run although membership does not list it as
+// alive.
 bool MayStillRun(const AgentEntry& agent, const AgentStatus* status) {
   const bool is_other_incarnation =
       status != nullptr && status->entry.incarnation != agent.incarnation;
--- a/libs/routing/src/flow_chooser.cpp
+++ b/libs/routing/src/flow_chooser.cpp
@@ -12,7 +12,7 @@
 namespace gaugevalve::routing {
 namespace {
 
-// Keeps the list of agents for the choosers below.
+// Base class of the choosers below: stores the list of agents.
 class ListChooser : public FlowChooser {
  public:
   void SetAgents(std::span<const base::NodeId> agents) override {
--- a/libs/routing/src/flow_count_encoder.cpp
+++ b/libs/routing/src/flow_count_encoder.cpp
@@ -6,7 +6,7 @@
 namespace gaugevalve::routing {
 namespace {
 
-// Tells whether a count is so far from the one that is known that it must be sent.
+// Tells whether a count differs so much from the one that the planner knows that it must be sent.
 bool IsFarOff(std::uint32_t flows, std::uint32_t known) {
   const std::uint32_t distance = flows > known ? flows - known : known - flows;
   const bool emptiness_differs = (flows == 0) != (known == 0);
--- a/libs/routing/src/load_steering.cpp
+++ b/libs/routing/src/load_steering.cpp
@@ -6,14 +6,14 @@
 namespace gaugevalve::routing {
 namespace {
 
-// Bounds of what one agent's share is scaled by, whatever the reports say.
+// Bounds of the factor by which an agent's share is scaled, whatever the reports say.
 constexpr double kMinShareFactor = 0.1;
 constexpr double kMaxShareFactor = 3.0;
 
-// Part of its flow capacity above which an agent takes no new flow.
+// An agent gets no new flows at or above this part of its flow capacity.
 constexpr double kFullFlowUtilisation = 0.95;
 
-// Returns the mean utilisation by share and report_weight; 0 when no report is trusted.
+// Returns the mean utilisation, weighted by share and report weight; 0 if no report has weight.
 double MeanUtilisation(std::span<const AgentView> agents, std::span<const double> shares) {
   double sum = 0.0;
   double weight = 0.0;
--- a/libs/routing/src/maglev_table.cpp
+++ b/libs/routing/src/maglev_table.cpp
@@ -8,7 +8,7 @@
 constexpr std::uint64_t kOffsetSeed = 0x6f66667365740001;
 constexpr std::uint64_t kSkipSeed = 0x736b697000000002;
 
-// One agent's permutation of the table's places.
+// One agent's permutation of the table's entries.
 class Permutation {
  public:
   Permutation(base::NodeId agent, std::size_t size)
@@ -16,7 +16,7 @@
         place_(base::HashPair(agent.value(), kOffsetSeed) % size),
         skip_(base::HashPair(agent.value(), kSkipSeed) % (size - 1) + 1) {}
 
-  // Returns the next place; each place comes once in `size` calls.
+  // Returns the next position; each position comes once in `size` calls.
   std::size_t Next() {
     const std::size_t place = place_;
     place_ = (place_ + skip_) % size_;
--- a/libs/routing/src/minimal_movement.cpp
+++ b/libs/routing/src/minimal_movement.cpp
@@ -8,7 +8,8 @@
 namespace gaugevalve::routing {
 namespace {
 
-// The state of one assignment: who owns what so far, and each candidate's lack of buckets.
+// State of one assignment: the owners so far, and how many buckets each candidate lacks to its
+// quota.
 class Matching {
  public:
   Matching(std::span<const AssignmentCandidate> candidates,
@@ -39,8 +40,8 @@
     }
   }
 
-  // Makes the one move that narrows the widest gap. Returns false when no gap above `min_gap` can
-  // be narrowed.
+  // Moves one bucket to reduce the largest difference of deficits. Returns false when no difference
+  // above `min_gap` can be reduced.
   bool NarrowWidestGap(double min_gap, std::vector<BucketMove>& moves) {
     std::vector<std::size_t> by_deficit(candidates_.size());
     std::iota(by_deficit.begin(), by_deficit.end(), std::size_t{0});
@@ -93,14 +94,14 @@
            bucket.previous_owners.end();
   }
 
-  // A move adds the old owner to the chain and takes the new one out of it.
+  // A move adds the old owner to the chain and removes the new one from it.
   static bool ChainAllows(const AssignmentBucket& bucket, base::NodeId new_owner) {
     const bool grows = bucket.owner_alive && !InChain(bucket, new_owner);
     return !grows || bucket.previous_owners.size() < kMaxPreviousOwners;
   }
 
   std::optional<std::size_t> BestRecipientForOrphan(const AssignmentBucket& bucket) const {
-    // Any member of the chain that isn't already above its quota is better than a longer chain.
+    // A member of the chain that is below its quota is preferred, because the chain gets no longer.
     const auto rank = [&](std::size_t position) {
       const AssignmentCandidate& candidate = candidates_[position];
       const bool has_room = candidate.share > 0.0 && deficits_[position] > 0.0;
@@ -151,7 +152,7 @@
 
   std::span<const AssignmentCandidate> candidates_;
   std::span<const AssignmentBucket> buckets_;
-  std::vector<double> deficits_;  // quota minus owned, by candidate
+  std::vector<double> deficits_;  // quota minus owned buckets, by candidate
   std::vector<std::optional<std::size_t>> owners_;
   std::vector<bool> moved_;
 };
--- a/libs/routing/src/move_budget.cpp
+++ b/libs/routing/src/move_budget.cpp
@@ -7,9 +7,9 @@
 
 std::size_t MoveBudget::Available(base::TimePoint now) {
   const std::chrono::duration<double, std::ratio<60>> minutes = now - refilled_at_;
-  saved_ = std::min<double>(per_minute_, saved_ + minutes.count() * per_minute_);
+  tokens_ = std::min<double>(per_minute_, tokens_ + minutes.count() * per_minute_);
   refilled_at_ = now;
-  return static_cast<std::size_t>(std::min<double>(per_step_, std::max(0.0, saved_)));
+  return static_cast<std::size_t>(std::min<double>(per_step_, std::max(0.0, tokens_)));
 }
 
 }  // namespace gaugevalve::routing
--- a/libs/routing/src/movement.cpp
+++ b/libs/routing/src/movement.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kKeyCount = 60'000;
 constexpr std::uint64_t kKeySeed = 20'240'601;
-constexpr std::size_t kNoCache = 1;  // so that Maglev's table alone is measured
+constexpr std::size_t kNoCache = 1;  // measures Maglev's table without its flow cache
 
 using Owners = std::vector<base::NodeId>;  // index = key
 
@@ -59,9 +59,9 @@
   return statuses;
 }
 
-// Lets the planner step until it has nothing more to change.
+// Runs planning steps until no step has changed the table for kStableSteps.
 void StepUntilStable(ServicePlanner& planner, base::TimePoint& now) {
-  constexpr int kStableSteps = 90;  // longer than the budget of moves may make it wait
+  constexpr int kStableSteps = 90;  // steps of 1 s; longer than the move budget can delay a move
   for (int quiet = 0; quiet < kStableSteps; ++quiet) {
     now += std::chrono::seconds(1);
     if (planner.Step(now)) {
--- a/libs/routing/src/outlier_ejection.cpp
+++ b/libs/routing/src/outlier_ejection.cpp
@@ -6,11 +6,11 @@
 namespace gaugevalve::routing {
 namespace {
 
-// How many times the median failure rate of the service makes an outlier.
+// An outlier's failure rate is above this multiple of the service's median.
 constexpr double kOutlierMedianFactor = 3.0;
 
-// Longest ejection, in multiples of the ejection time.
-constexpr std::uint32_t kMaxEjectionsInARow = 10;
+// Maximum length of an ejection, in multiples of the ejection time.
+constexpr std::uint32_t kMaxConsecutiveEjections = 10;
 
 double MedianFailureRate(std::span<const AgentView> agents) {
   std::vector<double> rates;
@@ -48,7 +48,7 @@
       record.ejected = false;
     }
   }
-  // A full ejection time without another ejection clears the record.
+  // The record is removed when a full ejection time has passed without another ejection.
   std::erase_if(records_, [&](const auto& entry) {
     return !entry.second.ejected && now >= entry.second.until + ejection_time_;
   });
@@ -78,9 +78,10 @@
       return;
     }
     Record& record = records_[agent->node];
-    record.ejections_in_a_row = std::min(record.ejections_in_a_row + 1, kMaxEjectionsInARow);
+    record.consecutive_ejections =
+        std::min(record.consecutive_ejections + 1, kMaxConsecutiveEjections);
     record.ejected = true;
-    record.until = now + ejection_time_ * record.ejections_in_a_row;
+    record.until = now + ejection_time_ * record.consecutive_ejections;
   }
 }
 
@@ -92,7 +93,8 @@
   RemoveAbsent(agents);
   ReadmitDue(now);
   EjectWorst(agents, now);
-  // Agents that left since they were counted may have lowered the cap: the earliest due come back.
+  // The cap falls when agents leave. Agents above it are readmitted, those whose ejection ends
+  // first before others.
   const auto cap =
       static_cast<std::size_t>(max_ejected_share_ * static_cast<double>(agents.size()));
   while (EjectedCount() > cap) {
--- a/libs/routing/src/report_store.cpp
+++ b/libs/routing/src/report_store.cpp
@@ -8,13 +8,13 @@
 namespace gaugevalve::routing {
 namespace {
 
-// A queue longer than this many times the slots adds nothing to the measure of load, so that one
-// absurd report can't outweigh all others.
+// Upper bound of the utilisation of one report: requests in progress and queued, divided by the
+// slots. Without it one absurd report would outweigh all others.
 constexpr double kMaxUtilisation = 4.0;
 
 double Seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// Returns the agent's own measure of how busy its endpoint is; 0 for an endpoint without slots.
+// Returns how busy the agent measured its endpoint to be; 0 for an endpoint without slots.
 double SlotUtilisation(const AgentReport& report) {
   if (report.total_slots == 0) {
     return 0.0;
@@ -22,8 +22,8 @@
   const bool measured = report.measured_time > base::Duration::zero();
   const double busy = measured ? Seconds(report.busy_slot_time) / Seconds(report.measured_time)
                                : static_cast<double>(report.busy_slots);
-  const double wanted = std::min<double>(busy, report.total_slots) + report.queued_requests;
-  return std::min(kMaxUtilisation, wanted / report.total_slots);
+  const double demand = std::min<double>(busy, report.total_slots) + report.queued_requests;
+  return std::min(kMaxUtilisation, demand / report.total_slots);
 }
 
 }  // namespace
@@ -52,7 +52,7 @@
   return flows;
 }
 
-ReportOutcome ReportStore::Take(const AgentReport& report, base::TimePoint now) {
+ReportOutcome ReportStore::Accept(const AgentReport& report, base::TimePoint now) {
   const auto found = records_.find(report.node);
   const bool is_first =
       found == records_.end() || found->second.report.incarnation != report.incarnation;
@@ -67,21 +67,22 @@
   if (!flows) {
     return ReportOutcome::kNeedsFullReport;
   }
-  AgentReport whole = report;
-  whole.flows_in_buckets = std::move(*flows);
-  whole.flow_changes.clear();
+  AgentReport full_report = report;
+  full_report.flows_in_buckets = std::move(*flows);
+  full_report.flow_changes.clear();
   if (is_first) {
-    const double utilisation = SlotUtilisation(whole);
-    records_[report.node] = Record{std::move(whole), now, utilisation, 0.0};
+    const double utilisation = SlotUtilisation(full_report);
+    records_[report.node] = Record{std::move(full_report), now, utilisation, 0.0};
     return ReportOutcome::kAccepted;
   }
   Record& record = found->second;
-  constexpr double kMinReportIntervalSeconds = 1e-3;  // seconds; reports that arrive together
+  // Bounds the rates of reports that arrive together.
+  constexpr double kMinReportIntervalSeconds = 1e-3;
   const double interval = std::max(kMinReportIntervalSeconds, Seconds(now - record.received_at));
   const double part = 1.0 - std::exp(-interval / Seconds(smoothing_time_));
   record.slot_utilisation += part * (SlotUtilisation(report) - record.slot_utilisation);
   record.failure_rate += part * (report.endpoint_failures / interval - record.failure_rate);
-  record.report = std::move(whole);
+  record.report = std::move(full_report);
   record.received_at = now;
   return ReportOutcome::kAccepted;
 }
--- a/libs/routing/src/service_planner.cpp
+++ b/libs/routing/src/service_planner.cpp
@@ -13,7 +13,7 @@
 namespace gaugevalve::routing {
 namespace {
 
-// Sorts by node; of two entries with one node only the newer incarnation stays.
+// Sorts by node and keeps only the entry with the newest incarnation of each node.
 std::vector<AgentStatus> SortedUnique(std::vector<AgentStatus> agents) {
   std::sort(agents.begin(), agents.end(), [](const AgentStatus& left, const AgentStatus& right) {
     return std::pair(left.entry.node, right.entry.incarnation) <
@@ -67,10 +67,12 @@
 
 void ServicePlanner::TakeOver(BucketTable table) {
   if (table.service != table_.service || table.buckets.empty()) {
-    throw std::invalid_argument("the table isn't one of the planner's service");
+    throw std::invalid_argument(
+        "the table has no buckets or belongs to another service than the planner's");
   }
   if (table.version >= TableVersion{epoch_, generation_, 1}) {
-    throw std::invalid_argument("the table is newer than the planner's generation");
+    throw std::invalid_argument(
+        "the table's version is not older than the first one of the planner's generation");
   }
   table_ = std::move(table);
   took_over_ = true;
@@ -102,11 +104,12 @@
   if (known != known_incarnations_.end() && known->second.incarnation == status.entry.incarnation) {
     return;
   }
-  // A life that the table already names isn't new, whatever this planner has seen of it.
+  // An incarnation that the table already lists isn't new, even if this planner hasn't seen it
+  // before, so its cold-start ramp counts as completed.
   const AgentEntry* entry = table_.FindAgent(status.entry.node);
   const bool in_table = entry != nullptr && entry->incarnation == status.entry.incarnation;
   const base::TimePoint first_seen = in_table ? now - settings_.cold_start_ramp : now;
-  known_incarnations_[status.entry.node] = Life{status.entry.incarnation, first_seen};
+  known_incarnations_[status.entry.node] = KnownIncarnation{status.entry.incarnation, first_seen};
 }
 
 const AgentStatus* ServicePlanner::FindStatus(base::NodeId node) const {
@@ -136,7 +139,8 @@
   if (report.incarnation != status->entry.incarnation) {
     return ReportOutcome::kOtherIncarnation;
   }
-  // Former planners may have published more than this one took over; nobody else may.
+  // Former planners of this epoch may have published newer tables than the one taken over. No table
+  // may be newer than this planner's generation.
   const TableVersion newest_known = std::max(table_.version, TableVersion{epoch_, generation_, 0});
   if (report.table_version > newest_known) {
     return ReportOutcome::kFutureTable;
@@ -149,7 +153,7 @@
 ReportOutcome ServicePlanner::HandleReport(const AgentReport& report, base::TimePoint now) {
   ReportOutcome outcome = Check(report);
   if (outcome == ReportOutcome::kAccepted) {
-    outcome = reports_.Take(report, now);
+    outcome = reports_.Accept(report, now);
   }
   if (outcome != ReportOutcome::kAccepted) {
     ++counters_.reports_refused;
@@ -203,7 +207,7 @@
   return candidates;
 }
 
-// All buckets but those of held agents, which nobody else may be given.
+// Returns all buckets except those of held agents, which must not be reassigned.
 std::vector<base::BucketIndex> ServicePlanner::FreeBuckets(const BucketTable& table) const {
   std::vector<base::BucketIndex> indices;
   indices.reserve(table.buckets.size());
@@ -372,7 +376,8 @@
   return delta;
 }
 
-// After a take-over nothing is known of what agents were told, so they need the first own table.
+// After a take-over it isn't known which tables the agents have, so they need the first table of
+// this planner.
 void ServicePlanner::UpdateListings(const BucketTable& next, bool restamps_all) {
   std::map<base::NodeId, Listing> listings;
   for (const AgentEntry& entry : next.agents) {
--- a/libs/routing/src/table_codec.cpp
+++ b/libs/routing/src/table_codec.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kIpv6Length = 16;
 constexpr std::uint32_t kMaxBuckets = std::numeric_limits<std::uint16_t>::max();
 
-// Durations in reports are bounded so that no later sum overflows: about 35 years.
+// Upper bound of durations in reports, about 35 years, so that no sum of them overflows.
 constexpr std::uint64_t kMaxMicroseconds = std::uint64_t{1} << 50;
 
 using AgentMessages = google::protobuf::RepeatedPtrField<proto::AgentEntry>;
@@ -26,7 +26,7 @@
   Message message;
   const bool fits = bytes.size() <= static_cast<std::size_t>(std::numeric_limits<int>::max());
   if (!fits || !message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-    throw DecodeError(std::string(what) + ": not a message of this kind");
+    throw DecodeError(std::string(what) + ": malformed protobuf message");
   }
   return message;
 }
@@ -70,7 +70,7 @@
 
 std::vector<AgentEntry> FromProto(const AgentMessages& messages) {
   if (messages.size() > static_cast<int>(kMaxAgentsInMessage)) {
-    throw DecodeError("agents: too many");
+    throw DecodeError("agents: too many entries");
   }
   std::vector<AgentEntry> agents;
   agents.reserve(static_cast<std::size_t>(messages.size()));
@@ -78,7 +78,7 @@
     AgentEntry agent = FromProto(message);
     const base::NodeId previous = agents.empty() ? base::NodeId() : agents.back().node;
     if (agent.node <= previous) {
-      throw DecodeError("agents: not sorted, not distinct or nobody");
+      throw DecodeError("agents: node identifiers are zero, repeated or not in rising order");
     }
     agents.push_back(std::move(agent));
   }
@@ -96,7 +96,7 @@
   return static_cast<std::uint64_t>(std::max(duration, base::Duration::zero()).count());
 }
 
-// Checks the buckets that a report names and returns them in their order.
+// Checks the buckets that a report lists and returns them in their order.
 std::vector<BucketFlows> NamedBuckets(const proto::AgentReport& message) {
   if (message.bucket_count() > kMaxBuckets) {
     throw DecodeError("report: too many buckets");
--- a/libs/routing/src/zone_preference.cpp
+++ b/libs/routing/src/zone_preference.cpp
@@ -18,24 +18,26 @@
   if (preferred_zones_.empty()) {
     return;
   }
-  double near_capacity = 0.0;
-  double far_capacity = 0.0;
+  double preferred_capacity = 0.0;
+  double other_capacity = 0.0;
   double demand = 0.0;
   for (std::size_t position = 0; position < agents.size(); ++position) {
-    double& capacity = IsPreferred(agents[position]) ? near_capacity : far_capacity;
+    double& capacity = IsPreferred(agents[position]) ? preferred_capacity : other_capacity;
     capacity += shares[position];
     demand += agents[position].utilisation * agents[position].weight;
   }
-  if (near_capacity <= 0.0 || far_capacity <= 0.0) {
+  if (preferred_capacity <= 0.0 || other_capacity <= 0.0) {
     return;
   }
-  // The far zones never take more than their even part: past that point all are alike.
-  const double even_part = far_capacity / (near_capacity + far_capacity);
-  const double surplus = std::max(0.0, demand - spill_utilisation_ * near_capacity);
-  const double far_part = demand > 0.0 ? std::min(even_part, surplus / demand) : 0.0;
+  // The other zones never get more than their even part: beyond that point all zones are treated
+  // alike.
+  const double even_part = other_capacity / (preferred_capacity + other_capacity);
+  const double surplus = std::max(0.0, demand - spill_utilisation_ * preferred_capacity);
+  const double other_part = demand > 0.0 ? std::min(even_part, surplus / demand) : 0.0;
   for (std::size_t position = 0; position < agents.size(); ++position) {
     const bool preferred = IsPreferred(agents[position]);
-    shares[position] *= preferred ? (1.0 - far_part) / near_capacity : far_part / far_capacity;
+    shares[position] *=
+        preferred ? (1.0 - other_part) / preferred_capacity : other_part / other_capacity;
   }
 }
 
--- a/libs/routing/tests/dead_agent_hold_test.cpp
+++ b/libs/routing/tests/dead_agent_hold_test.cpp
@@ -43,7 +43,7 @@
 
   void HoldsFromDeclarationWhenNoAnswerIsKnown() {
     DeadAgentHold hold(kDeadAgentHold);
-    hold.NoteAnswered(kNode, base::Incarnation(9), At(1000));  // of another life
+    hold.NoteAnswered(kNode, base::Incarnation(9), At(1000));  // of another incarnation
     hold.Update(listed_, {}, At(3000));
     CPPUNIT_ASSERT(hold.NextRelease() == At(3000) + kDeadAgentHold);
   }
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(left_late.Release(At(3000)));
   }
 
-  // A table that nobody can replace goes on listing who is dead.
+  // While no agent is live, the table can't be replaced and continues to list the dead agent.
   void HoldsOncePerDeathUntilTheAgentIsLiveAgain() {
     DeadAgentHold hold(kDeadAgentHold);
     hold.Update(listed_, {}, At(0));
--- a/libs/routing/tests/flow_chooser_test.cpp
+++ b/libs/routing/tests/flow_chooser_test.cpp
@@ -78,7 +78,8 @@
     }
   }
 
-  // A planner's movement may pass the minimum only by the grain of its buckets and its hysteresis.
+  // The planner may move more than the minimum only by the granularity of its buckets and its
+  // hysteresis.
   void PlannerMovesCloseToTheMinimum() {
     constexpr double kGranularityTolerance = 0.02;
     for (const auto& [before, after] : {std::pair{3, 4}, {4, 3}, {7, 8}, {8, 7}, {7, 5}}) {
--- a/libs/routing/tests/flow_count_encoder_test.cpp
+++ b/libs/routing/tests/flow_count_encoder_test.cpp
@@ -12,52 +12,52 @@
   CPPUNIT_TEST(FullReportOnRequestAndAfterManyLostAnswers);
   CPPUNIT_TEST_SUITE_END();
 
-  static AgentReport Shortened(FlowCountEncoder& digest, std::uint64_t sequence,
-                               std::vector<std::uint32_t> flows) {
+  static AgentReport Encoded(FlowCountEncoder& encoder, std::uint64_t sequence,
+                             std::vector<std::uint32_t> flows) {
     AgentReport report;
     report.sequence = sequence;
     report.flows_in_buckets = std::move(flows);
-    digest.EncodeChanges(report);
+    encoder.EncodeChanges(report);
     return report;
   }
 
   void ListsChangesSinceTheLastAnswer() {
-    FlowCountEncoder digest;
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, Shortened(digest, 1, {30, 0, 4}).flows_base);
-    digest.HandleAnswer(1, FlowCountsOutcome::kAccepted);
-    const AgentReport quiet = Shortened(digest, 2, {33, 0, 5});
+    FlowCountEncoder encoder;
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, Encoded(encoder, 1, {30, 0, 4}).flows_base);
+    encoder.HandleAnswer(1, FlowCountsOutcome::kAccepted);
+    const AgentReport quiet = Encoded(encoder, 2, {33, 0, 5});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, quiet.flows_base);
     CPPUNIT_ASSERT(quiet.flow_changes.empty() && quiet.flows_in_buckets.empty());
-    const AgentReport changed = Shortened(digest, 3, {60, 1, 0});
+    const AgentReport changed = Encoded(encoder, 3, {60, 1, 0});
     const std::vector<BucketFlows> all = {
         {base::BucketIndex(0), 60}, {base::BucketIndex(1), 1}, {base::BucketIndex(2), 0}};
     CPPUNIT_ASSERT(changed.flow_changes == all);
   }
 
-  // The planner may have taken the second report or not: the third is right for both.
+  // The planner may have accepted the second report or not. The third must be right in both cases.
   void RepeatsUnansweredChanges() {
-    FlowCountEncoder digest;
-    Shortened(digest, 1, {30, 0});
-    digest.HandleAnswer(1, FlowCountsOutcome::kAccepted);
-    Shortened(digest, 2, {30, 7});
+    FlowCountEncoder encoder;
+    Encoded(encoder, 1, {30, 0});
+    encoder.HandleAnswer(1, FlowCountsOutcome::kAccepted);
+    Encoded(encoder, 2, {30, 7});
     const std::vector<BucketFlows> back = {{base::BucketIndex(1), 0}};
-    CPPUNIT_ASSERT(Shortened(digest, 3, {30, 0}).flow_changes == back);
-    digest.HandleAnswer(3, FlowCountsOutcome::kAccepted);
-    CPPUNIT_ASSERT(Shortened(digest, 4, {30, 0}).flow_changes.empty());
+    CPPUNIT_ASSERT(Encoded(encoder, 3, {30, 0}).flow_changes == back);
+    encoder.HandleAnswer(3, FlowCountsOutcome::kAccepted);
+    CPPUNIT_ASSERT(Encoded(encoder, 4, {30, 0}).flow_changes.empty());
   }
 
   void FullReportOnRequestAndAfterManyLostAnswers() {
-    FlowCountEncoder digest;
-    Shortened(digest, 1, {30});
-    digest.HandleAnswer(1, FlowCountsOutcome::kAccepted);
-    Shortened(digest, 2, {30});
-    digest.HandleAnswer(2, FlowCountsOutcome::kRefused);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, Shortened(digest, 3, {30}).flows_base);
-    digest.HandleAnswer(3, FlowCountsOutcome::kNeedsFullReport);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Shortened(digest, 4, {30}).flows_in_buckets.size());
-    digest.HandleAnswer(4, FlowCountsOutcome::kAccepted);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, Shortened(digest, 11, {30}).flows_base);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, Shortened(digest, 12, {30}).flows_base);
+    FlowCountEncoder encoder;
+    Encoded(encoder, 1, {30});
+    encoder.HandleAnswer(1, FlowCountsOutcome::kAccepted);
+    Encoded(encoder, 2, {30});
+    encoder.HandleAnswer(2, FlowCountsOutcome::kRefused);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, Encoded(encoder, 3, {30}).flows_base);
+    encoder.HandleAnswer(3, FlowCountsOutcome::kNeedsFullReport);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Encoded(encoder, 4, {30}).flows_in_buckets.size());
+    encoder.HandleAnswer(4, FlowCountsOutcome::kAccepted);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, Encoded(encoder, 11, {30}).flows_base);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, Encoded(encoder, 12, {30}).flows_base);
   }
 };
 
--- a/libs/routing/tests/service_planner_test.cpp
+++ b/libs/routing/tests/service_planner_test.cpp
@@ -31,7 +31,7 @@
   return settings;
 }
 
-// A planner with a clock and agents that answer truthfully about the flows they are given.
+// A planner with a clock, and agents that report the given flow counts.
 struct Fixture {
   explicit Fixture(const PlannerSettings& settings = MakeSettings(), std::uint32_t generation = 0)
       : planner(kService, 1, generation, settings) {}
@@ -41,7 +41,8 @@
     return planner.Step(now);
   }
 
-  // Reports `flows` flows in each of these buckets, at the planner's present version.
+  // Reports `flows` flows in each bucket for which `holds` is true, at the planner's current
+  // version.
   template <class Predicate>
   ReportOutcome ReportWhere(int number, std::uint32_t flows, const Predicate& holds) {
     AgentReport report;
@@ -58,7 +59,7 @@
     return planner.HandleReport(report, now);
   }
 
-  // Reports `flows` flows in each bucket that names the agent.
+  // Reports `flows` flows in each bucket that lists the agent.
   ReportOutcome Report(int number, std::uint32_t flows) {
     return ReportWhere(number, flows, [&](const Bucket& bucket) {
       const auto& chain = bucket.previous_owners;
@@ -76,7 +77,7 @@
   }
 
   base::TimePoint now{};
-  std::uint32_t busy = 0;  // slots that the next report says are busy
+  std::uint32_t busy = 0;  // busy slots in the next report
   ServicePlanner planner;
 };
 
@@ -130,7 +131,7 @@
 
   void PreviousOwnerStaysUntilItReportsNoFlowAtTheMovesVersion() {
     Fixture fixture = WithThreeAgents();
-    fixture.Report(1, 0);  // before the move: says nothing about flows opened until then
+    fixture.Report(1, 0);  // before the move, so it tells nothing about flows opened until then
     fixture.planner.SetAgents(
         {MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
     fixture.planner.Step(fixture.now);
@@ -152,7 +153,7 @@
     fixture.planner.Step(fixture.now);
     const BucketTable before = fixture.planner.Table();
     fixture.planner.SetAgents({MakeStatus(2), MakeStatus(3, AgentLiveness::kDead)}, fixture.now);
-    // Both may be cut off only, and open flows.
+    // Both agents may only be isolated from control and still open flows.
     CPPUNIT_ASSERT(!fixture.StepLater(kFreshnessLimit).has_value());
     CPPUNIT_ASSERT(fixture.planner.Table() == before);
     CPPUNIT_ASSERT(fixture.StepLater(kDeadAgentHold - kFreshnessLimit).has_value());
@@ -216,7 +217,7 @@
       CPPUNIT_ASSERT(changes <= PlannerSettings{}.max_moves_per_step);
       moved += changes;
     }
-    CPPUNIT_ASSERT(moved >= 14 && moved <= 15);  // the minimum, less the hysteresis
+    CPPUNIT_ASSERT(moved >= 14 && moved <= 15);  // the minimum, reduced by the hysteresis
     CPPUNIT_ASSERT_EQUAL(moved, fixture.Owned()[Node(4)]);
   }
 
@@ -265,7 +266,7 @@
   void TakeOverKeepsTheTableUnderNewVersions() {
     Fixture former = WithThreeAgents();
     Fixture successor = Successor(former.planner.Table());
-    CPPUNIT_ASSERT(!successor.planner.Step(successor.now).has_value());  // nobody has reported
+    CPPUNIT_ASSERT(!successor.planner.Step(successor.now).has_value());  // no agent has reported
     for (int number = 1; number <= 3; ++number) {
       successor.Report(number, 1);
     }
@@ -295,8 +296,8 @@
     CPPUNIT_ASSERT(successor.StepLater(PlannerSettings{}.take_over_settling).has_value());
   }
 
-  // Found by proofs/routing: the reporter may have got a bucket back by a delta that the successor
-  // never saw, after it sent the report.
+  // A report from before a take-over must not shorten a chain: after it was sent, the agent may
+  // have got a bucket back by a delta that the successor never received. Found by proofs/routing.
   void ReportsFromBeforeATakeOverShortenNoChain() {
     Fixture former = WithThreeAgents();
     former.planner.SetAgents({MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)},
@@ -353,8 +354,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, fixture.planner.Counters().reports_refused);
   }
 
-  // Tables that come late to agents while the planner changes them with each report made agents
-  // drop first packets as stale_table: an answer named the newest table.
+  // When the answer to a report named the newest table, agents that got their tables late while the
+  // planner changed them with each report dropped first packets as stale_table.
   void AgentNeedsOnlyTheFirstTableThatListsIt() {
     Fixture fixture = WithThreeAgents();
     const TableVersion first = fixture.planner.Table().version;
@@ -363,17 +364,17 @@
     fixture.StepLater();
     const TableVersion second = fixture.planner.Table().version;
     CPPUNIT_ASSERT(first < second);
-    const base::Incarnation life(1);
-    CPPUNIT_ASSERT(fixture.planner.ListedSince(Node(1), life) == first);
-    CPPUNIT_ASSERT(fixture.planner.ListedSince(Node(4), life) == second);
-    // Another life of a node, and one that isn't listed, need the newest.
+    const base::Incarnation incarnation(1);
+    CPPUNIT_ASSERT(fixture.planner.ListedSince(Node(1), incarnation) == first);
+    CPPUNIT_ASSERT(fixture.planner.ListedSince(Node(4), incarnation) == second);
+    // Another incarnation of a node and an unlisted node need the newest table.
     CPPUNIT_ASSERT(fixture.planner.ListedSince(Node(1), base::Incarnation(2)) == second);
-    CPPUNIT_ASSERT(fixture.planner.ListedSince(Node(9), life) == second);
-    // A successor can't tell what the former planner's agents were told.
+    CPPUNIT_ASSERT(fixture.planner.ListedSince(Node(9), incarnation) == second);
+    // A successor doesn't know which tables the former planner's agents have.
     Fixture successor = Successor(fixture.planner.Table());
     successor.StepLater();
     successor.StepLater(seconds(60));
-    CPPUNIT_ASSERT(second < successor.planner.ListedSince(Node(1), life));
+    CPPUNIT_ASSERT(second < successor.planner.ListedSince(Node(1), incarnation));
   }
 
   void BusyAgentLosesBuckets() {
@@ -393,8 +394,8 @@
   void FullChainMovesOnlyBackToItsMembers() {
     Fixture fixture;
     constexpr int kAgents = 7;
-    // Each round all agents but one are leaving, so every bucket collects one owner after the
-    // other.
+    // In each round all agents except one are leaving, so every bucket collects one previous owner
+    // after another.
     for (int serving = 1; serving <= kAgents; ++serving) {
       std::vector<AgentStatus> agents;
       for (int number = 1; number <= kAgents; ++number) {
--- a/libs/routing/tests/share_policies_test.cpp
+++ b/libs/routing/tests/share_policies_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the small policies that shape the agents' shares.
+// Tests of the policies that adjust the agents' shares.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <vector>
@@ -96,7 +96,7 @@
     views[0].utilisation = 0.6;
     views[1].utilisation = 0.0;
     CPPUNIT_ASSERT_EQUAL(0.0, Adjusted(preference, views)[1]);
-    views[0].utilisation = 1.0;  // 0.2 of the demand of 1.0 is too much for the near zone
+    views[0].utilisation = 1.0;  // 0.2 of the demand of 1.0 exceeds the bound of the near zone
     const std::vector<double> spilled = Adjusted(preference, views);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.8, spilled[0], kTolerance);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.2, spilled[1], kTolerance);
@@ -113,7 +113,7 @@
     views[1].failure_rate = 0.0;
     CPPUNIT_ASSERT_EQUAL(0.0, Adjusted(ejection, views, now + seconds(29))[1]);
     CPPUNIT_ASSERT_EQUAL(1.0, Adjusted(ejection, views, now + seconds(30))[1]);
-    views[1].failure_rate = 5.0;  // again at once: out for twice the time
+    views[1].failure_rate = 5.0;  // a consecutive ejection lasts twice as long
     CPPUNIT_ASSERT_EQUAL(0.0, Adjusted(ejection, views, now + seconds(31))[1]);
     CPPUNIT_ASSERT_EQUAL(0.0, Adjusted(ejection, views, now + seconds(90))[1]);
   }
--- a/libs/routing/tests/table_codec_fuzzer.cpp
+++ b/libs/routing/tests/table_codec_fuzzer.cpp
@@ -1,5 +1,5 @@
-// Feeds arbitrary bytes to the decoders; whatever is accepted must survive a round trip. The first
-// byte chooses the decoder.
+// Feeds arbitrary bytes to the decoders. Accepted input must decode to the same value after
+// encoding. The first byte selects the decoder.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -53,7 +53,7 @@
   try {
     gaugevalve::routing::DecodeAny(data[0], bytes);
   } catch (const gaugevalve::routing::DecodeError&) {
-    return 0;  // refused, which is what most input deserves
+    return 0;  // most input is invalid
   }
   return 0;
 }
--- a/libs/routing/tests/table_codec_test.cpp
+++ b/libs/routing/tests/table_codec_test.cpp
@@ -20,7 +20,7 @@
   agents[1].data_address = *base::SocketAddress::Parse("[2001:db8::7]:4001");
   BucketTable table = MakeInitialTable(base::ServiceId(77), {4, 2, 9}, agents, 256);
   Bucket& moved = table.buckets[200];
-  moved.previous_owners = {moved.owner, base::NodeId(5)};  // one of them no agent of the table
+  moved.previous_owners = {moved.owner, base::NodeId(5)};  // the second is no agent of the table
   moved.owner = table.agents[0].node == moved.owner ? table.agents[1].node : table.agents[0].node;
   moved.version = {4, 2, 8};
   return table;
@@ -99,7 +99,7 @@
       try {
         CPPUNIT_ASSERT(DecodeTable(bytes.substr(0, length)) != table);
       } catch (const DecodeError&) {
-        continue;  // refused: as good
+        continue;  // a decoding error is right too
       }
     }
   }
--- a/proofs/lease/src/lease_proof.cpp
+++ b/proofs/lease/src/lease_proof.cpp
@@ -1,6 +1,7 @@
-// Stateful fuzzing of LeaseHolder and FencingGate against two rules: at no instant do two holders
-// believe that they hold, and a guarded resource never takes an action of an older holder after
-// one of a newer. Each protection is also taken away in turn; the rules must then be seen broken.
+// Stateful property test of LeaseHolder and FencingGate. Invariants: no two holders regard the
+// lease as held at the same instant, and a guarded resource never accepts an action of an older
+// holder after one of a newer. Each protection is also disabled in turn; the test must then detect
+// a violation.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -40,7 +41,7 @@
   return stream << kNames[static_cast<std::size_t>(kind)];
 }
 
-// The oracle is in the world, so the model of the commands carries only what they may do.
+// The oracle is in LeaseWorld, so the model only tells which commands are allowed.
 struct Model {
   bool early_expiry = false;
 };
@@ -130,7 +131,7 @@
   Delivery delivery_;
 };
 
-// What the cases of one property did together.
+// Sums over all cases of one property.
 struct Totals {
   std::size_t acquisitions = 0;
   std::size_t actions_accepted = 0;
--- a/proofs/lease/src/lease_world.cpp
+++ b/proofs/lease/src/lease_world.cpp
@@ -18,7 +18,7 @@
   settings.ttl = std::chrono::seconds(10);
   settings.renew_interval = std::chrono::seconds(3);
   settings.request_timeout = std::chrono::seconds(2);
-  settings.safety_margin = base::Duration::zero();  // the proof must not need it
+  settings.safety_margin = base::Duration::zero();  // the invariants must hold without it
   settings.clock_drift = world.assumed_drift;
   return settings;
 }
@@ -37,7 +37,7 @@
                         {}});
   }
   for (std::size_t index = 0; index < kHolders; ++index) {
-    Campaign(index);  // which looks at all of them
+    Campaign(index);  // also checks the invariant over all holders
   }
 }
 
@@ -49,7 +49,8 @@
 
 void LeaseWorld::RunAlone(std::size_t holder, base::Duration span, Delivery last) {
   constexpr base::Duration kStep = std::chrono::milliseconds(200);
-  constexpr base::Duration kLongestWait = std::chrono::seconds(4);  // over a renewal interval
+  // Longer than a renewal interval.
+  constexpr base::Duration kLongestWait = std::chrono::seconds(4);
   for (base::Duration done{}; done < span; done += kStep) {
     AdvanceTime(kStep);
     Step(holder);
@@ -225,7 +226,7 @@
 
 void LeaseWorld::CheckMutualExclusion() {
   if (settings_.early_expiry) {
-    return;  // then only the gate is left to keep order
+    return;  // two holders are possible; only the gate keeps the order of actions
   }
   std::ostringstream words;
   for (std::size_t index = 0; index < kHolders; ++index) {
--- a/proofs/lease/src/lease_world.h
+++ b/proofs/lease/src/lease_world.h
@@ -1,5 +1,5 @@
-// Several lease holders, a store and a guarded resource in simulated time, with all that can go
-// wrong between them, and the oracle that watches them.
+// Simulation of several lease holders, a store and a guarded resource with all their faults, and
+// the oracle that checks the invariants.
 #pragma once
 
 #include <cstddef>
@@ -15,26 +15,27 @@
 
 namespace gaugevalve::proofs {
 
-// What the world is like, and which protection is taken away to see that the oracle misses it.
+// Parameters of the simulation, and the protections that can be disabled to check that the oracle
+// detects it.
 struct LeaseWorldSettings {
-  double true_drift = 0.05;     // how far the holders' clocks really are from the store's
-  double assumed_drift = 0.05;  // what the holders are told
-  bool gate_enabled = true;     // false: the resource takes every action
-  bool check_clock = true;      // false: holders act on what they believed at their last step
-  bool early_expiry = false;    // true: the platform may end leases before their time
+  double true_drift = 0.05;     // actual relative drift between the holders' clocks and the store's
+  double assumed_drift = 0.05;  // drift in the holders' settings
+  bool gate_enabled = true;     // false: the resource accepts every action
+  bool check_clock = true;      // false: holders act on their view as of their last step
+  bool early_expiry = false;    // true: the store may end leases before their time
 };
 
-// How a request to the store ends.
+// Result of a request to the store.
 enum class Delivery : std::uint8_t {
   kAnswered,
-  kRefused,        // not applied, and the holder is told so
-  kRequestLost,    // not applied, the holder doesn't know
-  kAnswerLost,     // applied, the holder doesn't know
+  kRefused,        // not applied; the holder gets an error
+  kRequestLost,    // not applied; the holder gets no answer
+  kAnswerLost,     // applied; the holder gets no answer
   kAnswerDelayed,  // applied now, answered at a later step
-  kAppliedLate,    // the holder doesn't know; applied some time later
+  kAppliedLate,    // applied some time later; the holder gets no answer
 };
 
-// Runs the real LeaseHolder cores. Every method is one step that an adversary may choose.
+// Runs the real LeaseHolder cores. Each method is one step that the adversary may choose.
 class LeaseWorld {
  public:
   static constexpr std::size_t kHolders = 3;
@@ -42,24 +43,24 @@
   explicit LeaseWorld(const LeaseWorldSettings& settings);
 
   void AdvanceTime(base::Duration step);
-  // Lets one holder work undisturbed for a while, and gives its next request after that this end.
-  // The others do nothing meanwhile.
+  // Runs one holder without faults for a time, and then ends its next request with `last`. The
+  // other holders do nothing meanwhile.
   void RunAlone(std::size_t holder, base::Duration span, Delivery last);
   void Step(std::size_t holder);
   void Deliver(std::size_t holder, Delivery delivery);
   void ApplyLateRequest();
   void SetPaused(std::size_t holder, bool paused) { holders_[holder].paused = paused; }
   void SetOutage(bool outage) { outage_ = outage; }
-  void Decide(std::size_t holder);           // sends an action if the holder believes it holds
+  void Decide(std::size_t holder);  // sends an action if the holder regards the lease as held
   void DeliverAction(std::size_t position);  // in any order
   void Campaign(std::size_t holder);
   void Resign(std::size_t holder);
   void ExpireLeasesEarly();
 
-  // Ends every fault and lets the holders run for a while.
+  // Ends every fault and runs the holders for a time.
   void Heal();
 
-  // Returns what the oracle has seen go wrong; nothing while all is well.
+  // Returns the first violated invariant; nothing if there is none.
   const std::optional<std::string>& Violation() const { return violation_; }
 
   std::size_t CountBelievingHolders() const;
@@ -79,7 +80,7 @@
     base::Duration clock_offset{};
     bool paused = false;
     std::deque<lease::LeaseRequest> requests;
-    std::deque<Answer> answers;  // on their way back
+    std::deque<Answer> answers;  // not delivered to the holder yet
     lease::LeaseView last_view;
     lease::FencingToken last_token;
   };
@@ -95,11 +96,11 @@
   void Fail(std::string words);
 
   LeaseWorldSettings settings_;
-  base::TimePoint now_{};  // the store's time line
+  base::TimePoint now_{};  // store time
   standins::MvccStore store_;
   std::vector<Holder> holders_;
   std::deque<store::Request> late_requests_;
-  std::vector<lease::FencingToken> actions_;  // on their way to the resource
+  std::vector<lease::FencingToken> actions_;  // sent, but not delivered to the resource yet
   lease::FencingGate gate_;
   lease::FencingToken newest_accepted_{};
   bool outage_ = false;
--- a/proofs/routing/planner_fleet.cpp
+++ b/proofs/routing/planner_fleet.cpp
@@ -34,10 +34,10 @@
 }  // namespace
 
 PlannerFleet::PlannerFleet(const routing::PlannerMechanisms& mechanisms, PolicyMaker make_policies,
-                           const routing::FlowCountEncoderMechanisms& digest_mechanisms)
+                           const routing::FlowCountEncoderMechanisms& encoder_mechanisms)
     : mechanisms_(mechanisms),
       make_policies_(make_policies),
-      digest_mechanisms_(digest_mechanisms),
+      encoder_mechanisms_(encoder_mechanisms),
       settings_(MakeSettings()) {
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
     agents_[agent] = MakeLife(base::Incarnation(1));
@@ -58,7 +58,7 @@
   Agent agent;
   agent.incarnation = incarnation;
   agent.entries.resize(kBuckets);
-  agent.digest.SetMechanisms(digest_mechanisms_);
+  agent.encoder.SetMechanisms(encoder_mechanisms_);
   return agent;
 }
 
@@ -107,7 +107,7 @@
   recipient.is_listed = self != nullptr && self->incarnation >= recipient.incarnation;
 }
 
-// A datagram brings the newest entry of one bucket, and no table.
+// A datagram carries the newest entry of one bucket, and no table.
 void PlannerFleet::DeliverEntry(std::uint32_t agent, std::uint32_t bucket) {
   const std::size_t index = bucket % kBuckets;
   Bucket& known = agents_[agent % kAgents].entries[index];
@@ -142,7 +142,7 @@
 void PlannerFleet::Send(std::size_t agent, routing::AgentReport report) {
   const std::vector<std::uint32_t> flows = report.flows_in_buckets;
   report.sequence = ++agents_[agent].last_sequence;
-  agents_[agent].digest.EncodeChanges(report);
+  agents_[agent].encoder.EncodeChanges(report);
   reports_.push_back({std::move(report), now_, flows});
 }
 
@@ -182,7 +182,8 @@
   }
 }
 
-// That an agent's table is fresh is taken to reach it at once, what became of its flows isn't.
+// The confirmation of the table is assumed to reach the agent at once, but the outcome of its flow
+// counts is delivered by an event.
 void PlannerFleet::Answer(const SentReport& sent, routing::ReportOutcome outcome) {
   const routing::AgentReport& report = sent.report;
   planner_->NoteAnswered(report.node, report.incarnation, now_);
@@ -198,8 +199,8 @@
                                     : routing::FlowCountsOutcome::kRefused});
 }
 
-// What the planner has of an agent is what the agent had when it sent the report: which buckets are
-// empty exactly, and the counts roughly.
+// The planner must know exactly which buckets were empty at the agent when it sent the report, and
+// the counts of the others approximately.
 void PlannerFleet::CheckPlannerFlowCounts(const SentReport& sent) {
   const routing::AgentReport* newest = planner_->NewestReport(sent.report.node);
   const std::vector<std::uint32_t>& known_counts = newest->flows_in_buckets;
@@ -208,7 +209,7 @@
     const std::uint32_t known = known_counts.size() == kBuckets ? known_counts[index] : 0;
     const bool is_near = flows <= known + known / 2 + 1 && known <= 2 * flows + 2;
     if ((flows == 0) != (known == 0) || !is_near) {
-      RecordViolation("the planner's picture of an agent's flows is wrong");
+      RecordViolation("the planner's flow counts of an agent are wrong");
     }
   }
 }
@@ -232,7 +233,7 @@
   const SentAnswer answer = answers_[position % answers_.size()];
   LoseAnswer(position);
   if (agents_[answer.agent].incarnation == answer.incarnation) {
-    agents_[answer.agent].digest.HandleAnswer(answer.sequence, answer.outcome);
+    agents_[answer.agent].encoder.HandleAnswer(answer.sequence, answer.outcome);
   }
 }
 
@@ -245,11 +246,11 @@
 void PlannerFleet::SetLiveness(std::uint32_t agent, std::uint32_t liveness) {
   constexpr std::uint32_t kLivenessValues = 3;
   routing::AgentStatus& status = membership_view_[agent % kAgents];
-  const base::Incarnation life = agents_[agent % kAgents].incarnation;
+  const base::Incarnation incarnation = agents_[agent % kAgents].incarnation;
   const bool was_dead =
-      status.liveness == routing::AgentLiveness::kDead && status.entry.incarnation == life;
+      status.liveness == routing::AgentLiveness::kDead && status.entry.incarnation == incarnation;
   status.liveness = static_cast<routing::AgentLiveness>(liveness % kLivenessValues);
-  status.entry.incarnation = life;
+  status.entry.incarnation = incarnation;
   if (!was_dead) {
     declared_dead_at_[agent % kAgents] = now_;
   }
@@ -260,7 +261,7 @@
   SetLiveness(agent, static_cast<std::uint32_t>(routing::AgentLiveness::kDead));
 }
 
-// What it held ends with it, and it opens nothing any more; it comes back as another life.
+// The agent's flows end with it and it opens no more. It returns as another incarnation.
 void PlannerFleet::LeaveGracefully(std::uint32_t agent) {
   Agent& leaver = agents_[agent % kAgents];
   const base::Incarnation last = leaver.incarnation;
@@ -280,8 +281,10 @@
   const base::Incarnation next(restarted.incarnation.value() + 1);
   restarted = MakeLife(next);
   membership_view_[agent % kAgents].entry.incarnation = next;
-  declared_dead_at_[agent % kAgents] = now_;  // if it is told dead, then of this life from now on
-  draining_.erase(NodeOf(agent % kAgents));   // the planner forgets a former life's report
+  // If it is declared dead, this incarnation counts from now.
+  declared_dead_at_[agent % kAgents] = now_;
+  // The planner discards the report of a former incarnation.
+  draining_.erase(NodeOf(agent % kAgents));
   UpdatePlannerAgents();
 }
 
@@ -294,7 +297,7 @@
   MakePlanner();
   planner_->TakeOver(table);
   draining_.clear();
-  moves_.clear();  // the bound is each planner's own
+  moves_.clear();  // each planner has its own limit
   declared_dead_at_.fill(now_);
   UpdatePlannerAgents();
 }
@@ -314,13 +317,13 @@
          membership_view_[AgentOf(node)].liveness != routing::AgentLiveness::kDead;
 }
 
-// A dead agent's buckets may wait for this long, and not longer.
+// The buckets of a dead agent may be held for this long at most.
 bool PlannerFleet::IsHeld(base::NodeId node) const {
   return node != base::NodeId() && !IsDeclaredAlive(node) &&
          now_ < declared_dead_at_[AgentOf(node)] + routing::kDeadAgentHold;
 }
 
-// By its clock and its table, whatever others say of it.
+// By the agent's own clock and table, whatever others know about it.
 bool PlannerFleet::MayOpen(std::size_t agent) const {
   return agents_[agent].is_listed && agents_[agent].confirmed_at >= now_ - routing::kFreshnessLimit;
 }
@@ -346,10 +349,10 @@
   }
   BucketTable applied = before;
   if (!applied.Apply(delta) || applied != after) {
-    RecordViolation("the delta doesn't make the planner's table");
+    RecordViolation("applying the delta doesn't give the planner's table");
   }
   if (!AnyAgentMayOwn()) {
-    RecordViolation("the last table should have stayed");
+    RecordViolation("the table changed although no agent may own a bucket");
   }
   for (std::size_t index = 0; index < kBuckets; ++index) {
     CheckBucket(index, before.buckets[index], after.buckets[index]);
@@ -387,23 +390,23 @@
   CheckReassignedFromDead(index, before, after);
 }
 
-// An agent that is cut off from control goes on as the owner that it was, until its table is too
-// old. Another life of it, or its farewell, has forgotten its entries.
+// An agent that is isolated from control continues as the owner until its table is too old. After a
+// restart or a graceful leave its entries are gone.
 void PlannerFleet::CheckReassignedFromDead(std::size_t index, const Bucket& before,
                                            const Bucket& after) {
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
     const base::NodeId node = NodeOf(agent);
     const bool given_away = before.owner == node && after.owner != node;
-    // The liar may have said that it knows the entry which leaves it out.
+    // The agent with false reports may have claimed that it has the entry which omits it.
     const bool dropped = agent != kFalseReporter && Names(before, node) && !Names(after, node);
     const bool opens = agents_[agent].entries[index].owner == node && MayOpen(agent);
     if (!IsDeclaredAlive(node) && (given_away || dropped) && opens) {
-      RecordViolation("an agent that still opens flows was taken for dead");
+      RecordViolation("a bucket of a dead agent that still opens flows was reassigned");
     }
   }
 }
 
-// Whoever is no longer named must hold nothing, and know that it mustn't open anything.
+// An agent that is no longer listed must hold no flows, and must know that it may open none.
 void PlannerFleet::CheckDropped(std::size_t index, const Bucket& before, const Bucket& after) {
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
     const base::NodeId node = NodeOf(agent);
@@ -435,7 +438,7 @@
   for (const Moves& moves : moves_) {
     in_a_minute += moves.count;
   }
-  // What was saved up in one minute and what comes in during the next.
+  // The limit allows the allowance kept from one minute and that of the next.
   if (count > settings_.max_moves_per_step || in_a_minute > 2 * settings_.max_moves_per_minute) {
     RecordViolation("more buckets moved than the bounds allow");
   }
@@ -466,7 +469,7 @@
       const bool has_room = bucket.previous_owners.size() < routing::kMaxPreviousOwners;
       const bool holds = agents_[agent].flows[index] > 0 && IsDeclaredAlive(node);
       if (AnyAgentMayOwn() && holds && !Names(bucket, node) && has_room) {
-        return "an agent with flows isn't named at rest";
+        return "an agent with flows isn't listed in the stable table";
       }
     }
   }
--- a/proofs/routing/planner_fleet.h
+++ b/proofs/routing/planner_fleet.h
@@ -1,4 +1,4 @@
-// A service's agents with their true flows, around the planner under proof.
+// Model of a service's agents and their flows around the planner under test.
 #pragma once
 
 #include <array>
@@ -16,20 +16,20 @@
 
 namespace gaugevalve::proofs {
 
-// Plays agents, membership and successive planners, and keeps the truth that the oracle needs:
-// which agent holds how many flows in which bucket, and under which entries it would open more.
-// Messages are late and out of order as the events choose. Every event takes arbitrary numbers and
-// reduces them to its range, so shrinking works.
+// Simulates agents, membership and successive planners, and keeps the true state for the oracle:
+// the number of flows of each agent in each bucket, and the entries by which it would open more.
+// Messages are delayed and reordered by the events. Every event accepts arbitrary numbers and
+// reduces them to its range, so that shrinking works.
 class PlannerFleet {
  public:
   static constexpr std::size_t kAgents = 7;
   static constexpr std::size_t kBuckets = 24;
-  static constexpr std::size_t kFalseReporter = 0;  // the agent whose reports may be false
+  static constexpr std::size_t kFalseReporter = 0;  // the only agent that may send false reports
 
-  // `make_policies` makes the rules of each planner in turn.
+  // `make_policies` makes the policies of each planner.
   using PolicyMaker = routing::PlannerPolicies (*)(const routing::PlannerSettings&);
   PlannerFleet(const routing::PlannerMechanisms& mechanisms, PolicyMaker make_policies,
-               const routing::FlowCountEncoderMechanisms& digest_mechanisms = {});
+               const routing::FlowCountEncoderMechanisms& encoder_mechanisms = {});
 
   // Events.
   void OpenFlow(std::uint32_t agent, std::uint32_t bucket);
@@ -44,39 +44,42 @@
   void DeliverAnswer(std::uint32_t position);
   void LoseAnswer(std::uint32_t position);
   void SetLiveness(std::uint32_t agent, std::uint32_t liveness);
-  void DeclareDead(std::uint32_t agent);  // whatever is true: it may only be cut off from control
-  void LeaveGracefully(std::uint32_t agent);  // it ends, and says so
+  void DeclareDead(std::uint32_t agent);      // the agent may still run, isolated from control
+  void LeaveGracefully(std::uint32_t agent);  // the agent ends and announces it
   void Restart(std::uint32_t agent);
   void TakeOver(std::uint32_t age);
   void Step(std::uint32_t milliseconds);
 
-  // Lets everything arrive and nothing happen, until a planner must have come to rest.
+  // Delivers all messages without other events for longer than a planner needs until its table is
+  // stable.
   void RunUntilStable();
 
-  // Returns what is wrong since the start; empty when nothing is.
+  // Returns the first violated invariant; empty if there is none.
   const std::string& Violation() const { return violation_; }
 
-  // Returns what is wrong with a fleet at rest; empty when nothing is.
+  // Returns the invariant that the stable fleet violates; empty if there is none.
   std::string ViolationWhenStable() const;
 
  private:
   struct Agent {
     base::Incarnation incarnation{1};
     std::array<std::uint32_t, kBuckets> flows{};
-    std::vector<routing::Bucket> entries;  // newest seen; it opens flows where it is the owner
+    // Newest received; the agent opens flows where it is the owner.
+    std::vector<routing::Bucket> entries;
     routing::TableVersion table_version;
-    bool is_listed = false;  // its table knows this life of it; without that it opens nothing
-    // When it sent the newest of its reports that were answered: it opens flows for a while after.
+    bool is_listed = false;  // its table lists this incarnation; otherwise it opens no flows
+    // Time at which it sent the newest of its answered reports. It opens flows for a time after
+    // that.
     base::TimePoint confirmed_at = base::TimePoint::min();
     std::uint64_t last_sequence = 0;
-    routing::FlowCountEncoder digest;
+    routing::FlowCountEncoder encoder;
   };
 
-  // A report with the time at which it was sent.
+  // A report, the time at which it was sent and the full flow counts at that time.
   struct SentReport {
     routing::AgentReport report;
     base::TimePoint sent_at;
-    std::vector<std::uint32_t> flows;  // whole, as they were
+    std::vector<std::uint32_t> flows;
   };
 
   struct SentAnswer {
@@ -86,7 +89,7 @@
     routing::FlowCountsOutcome outcome;
   };
 
-  // A non-forced move of a bucket, for the bound per minute.
+  // Number of moves of one step that were not forced, for the limit per minute.
   struct Moves {
     base::TimePoint at;
     std::size_t count;
@@ -114,15 +117,15 @@
 
   routing::PlannerMechanisms mechanisms_;
   PolicyMaker make_policies_;
-  routing::FlowCountEncoderMechanisms digest_mechanisms_;
+  routing::FlowCountEncoderMechanisms encoder_mechanisms_;
   routing::PlannerSettings settings_;
   base::TimePoint now_{};
   std::uint32_t generation_ = 0;
   std::unique_ptr<routing::ServicePlanner> planner_;
   std::array<Agent, kAgents> agents_;
-  std::vector<routing::AgentStatus> membership_view_;  // what membership says
-  std::set<base::NodeId> draining_;                    // by the last report that the planner took
-  std::array<base::TimePoint, kAgents> declared_dead_at_{};  // or the take-over since
+  std::vector<routing::AgentStatus> membership_view_;  // statuses that membership gives the planner
+  std::set<base::NodeId> draining_;  // by the last report that the planner accepted
+  std::array<base::TimePoint, kAgents> declared_dead_at_{};  // or the time of the last take-over
   std::deque<SentReport> reports_;
   std::deque<SentAnswer> answers_;
   std::vector<routing::BucketTable> published_;
--- a/proofs/routing/routing_proof.cpp
+++ b/proofs/routing/routing_proof.cpp
@@ -1,10 +1,10 @@
-// The planner of a service through arbitrary lives of its agents, take-overs from old tables, and
-// late, reordered and lying reports.
+// Stateful property test of the planner of a service: restarts and failures of its agents,
+// take-overs from old tables, and late, reordered and false reports.
 //
-// Oracle: the true flows of every agent. Whoever a bucket's entry no longer names holds no flow in
-// it and opens none, also when it was declared dead and only is cut off from control; owners are
-// live; chains are bounded; moves are bounded; all flows are named once things have settled, and
-// then nothing moves any more.
+// Oracle: the true flows of every agent. An agent that a bucket's entry no longer lists holds no
+// flow in it and opens none, also if it was declared dead and is only isolated from control. Owners
+// are live; chains and moves are bounded. Once the table is stable, all flows are listed and no
+// bucket moves any more.
 
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
@@ -28,7 +28,7 @@
 
 struct NoModel {};
 
-// One event, chosen by number so that shrinking finds a short and simple history.
+// One event, chosen by number so that shrinking finds a short and simple sequence.
 struct Event : rc::state::Command<NoModel, PlannerFleet> {
   std::uint32_t kind = *rc::gen::inRange<std::uint32_t>(0, 26);
   std::uint32_t first = *rc::gen::inRange<std::uint32_t>(0, 64);
@@ -93,8 +93,8 @@
 
 void CheckPlannerInvariants(const PlannerMechanisms& mechanisms,
                             PlannerFleet::PolicyMaker make_policies,
-                            const routing::FlowCountEncoderMechanisms& digest_mechanisms = {}) {
-  PlannerFleet fleet(mechanisms, make_policies, digest_mechanisms);
+                            const routing::FlowCountEncoderMechanisms& encoder_mechanisms = {}) {
+  PlannerFleet fleet(mechanisms, make_policies, encoder_mechanisms);
   rc::state::check(NoModel(), fleet, [](const NoModel& /*model*/) {
     return rc::gen::exec([] {
       return std::shared_ptr<const rc::state::Command<NoModel, PlannerFleet>>(
@@ -106,7 +106,7 @@
   RC_ASSERT(fleet.ViolationWhenStable() == "");
 }
 
-// Moves buckets whatever their chains.
+// Moves buckets without regard to their chains.
 class ChainIgnoringAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
@@ -123,7 +123,7 @@
   routing::MinimalMovement inner_{0.0};
 };
 
-// Moves all it likes at once.
+// Moves any number of buckets at once.
 class UnboundedAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
@@ -136,7 +136,7 @@
   routing::MinimalMovement inner_{0.0};
 };
 
-// Gives a bucket to any agent of the table, live or not.
+// Leaves buckets with leaving owners.
 class LeavingOwnerKeepingAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
@@ -144,7 +144,7 @@
                              std::size_t allowance) const override {
     routing::Assignment assignment = inner_.Assign(candidates, buckets, allowance);
     std::erase_if(assignment.forced, [&](const routing::BucketMove& move) {
-      return buckets[move.index.value()].owner_alive;  // leaving owners keep their buckets
+      return buckets[move.index.value()].owner_alive;  // the owner is leaving and keeps its bucket
     });
     return assignment;
   }
@@ -160,7 +160,7 @@
   return policies;
 }
 
-// Never more agents out than the cap allows, however they fail and come and go.
+// Never more agents are ejected than the cap allows, however agents fail, leave and join.
 void CheckEjectionCap(double cap_used) {
   constexpr double kCap = 0.34;
   routing::OutlierEjection ejection(0.5, std::chrono::seconds(30), cap_used);
@@ -224,14 +224,14 @@
                                                            routing::MakePlannerPolicies);
                                   });
 
-const RegisteredProof mutant_digest("without_repeating_unanswered_flows",
-                                    ProofKind::kMutantIsCaught, [] {
-                                      routing::FlowCountEncoderMechanisms mechanisms;
-                                      mechanisms.repeat_unanswered = false;
-                                      CheckPlannerInvariants(PlannerMechanisms(),
-                                                             routing::MakePlannerPolicies,
-                                                             mechanisms);
-                                    });
+const RegisteredProof mutant_flow_counts("without_repeating_unanswered_flows",
+                                         ProofKind::kMutantIsCaught, [] {
+                                           routing::FlowCountEncoderMechanisms mechanisms;
+                                           mechanisms.repeat_unanswered = false;
+                                           CheckPlannerInvariants(PlannerMechanisms(),
+                                                                  routing::MakePlannerPolicies,
+                                                                  mechanisms);
+                                         });
 
 const RegisteredProof mutant_chains_ignored("careless_of_chains", ProofKind::kMutantIsCaught, [] {
   CheckPlannerInvariants(PlannerMechanisms(), WithAssignment<ChainIgnoringAssignment>);
