--- a/libs/control/src/settings_publisher.cpp
+++ b/libs/control/src/settings_publisher.cpp
@@ -54,9 +54,9 @@
   const bool present = found != values.end();
   const settings::SubtreeDocument document{reference.service, present ? found->second : ""};
   if (!present || document.Digest() != reference.digest) {
-    result.findings.push_back(
-        {{"store", 0, 0, store_key},
-         "the text of this service in the store doesn't have the digest that the root names"});
+    result.findings.push_back({{"store", 0, 0, store_key},
+                               "the text of this service in the store is missing or doesn't match "
+                               "the digest in the root"});
     return;
   }
   result.records.push_back({key, version, EncodeSubtree(document)});
--- a/libs/routing/src/movement.cpp
+++ b/libs/routing/src/movement.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kKeyCount = 60'000;
 constexpr std::uint64_t kKeySeed = 20'240'601;
-constexpr std::size_t kNoCache = 1;  // measures Maglev's table without its flow cache
+constexpr std::size_t kMinCacheCapacity = 1;  // measures Maglev's table without its flow cache
 
 using Owners = std::vector<base::NodeId>;  // index = key
 
@@ -109,7 +109,7 @@
 }
 
 Movement MeasureChooser(ChooserKind kind, std::size_t before, std::size_t after) {
-  const std::unique_ptr<FlowChooser> chooser = MakeFlowChooser(kind, 0, kNoCache);
+  const std::unique_ptr<FlowChooser> chooser = MakeFlowChooser(kind, 0, kMinCacheCapacity);
   chooser->SetAgents(NodesOf(before));
   const Owners owners_before = ChooseAll(*chooser);
   chooser->SetAgents(NodesOf(after));
