--- a/libs/control/src/settings_activator.cpp
+++ b/libs/control/src/settings_activator.cpp
@@ -17,13 +17,13 @@
   return settings::SubtreeDocument{message.service(), message.text()};
 }
 
-// Returns the tree of the root's own fields, without services.
+// Returns the tree of the root's own settings, without services.
 settings::SettingsTree RootOnly(settings::RootDocument root) {
   root.services.clear();
   return settings::AssembleTree(root, {});
 }
 
-void ThrowFindings(base::Findings findings) {
+void ThrowIfAnyFindings(base::Findings findings) {
   if (!findings.empty()) {
     throw base::FindingsError(std::move(findings));
   }
@@ -47,11 +47,11 @@
     if (newest_known_ <= active_.revision) {
       return ActivationResult::kNothingNewer;
     }
-    bool whole = true;
+    bool complete = true;
     for (const settings::SubtreeReference& reference : root_.services) {
-      whole = ReadSubtree(records, reference) && whole;
+      complete = ReadSubtree(records, reference) && complete;
     }
-    if (!whole && !faults_.activate_partially) {
+    if (!complete && !faults_.activate_partially) {
       return ActivationResult::kIncomplete;
     }
     Activate();
@@ -76,7 +76,7 @@
   }
 }
 
-// Makes the parsed subtree the one the root names; false when that isn't held.
+// Parses the subtree that the reference names; returns false if that subtree isn't held.
 bool SettingsActivator::ReadSubtree(const dissemination::RecordStore& records,
                                     const settings::SubtreeReference& reference) {
   const auto parsed = subtrees_.find(reference.service);
@@ -102,7 +102,7 @@
   for (const auto& [service, subtree] : subtrees_) {
     tree.root.children.emplace(service, subtree.branch);
   }
-  ThrowFindings(settings::CheckTree(tree));
+  ThrowIfAnyFindings(settings::CheckTree(tree));
   active_.settings = std::make_shared<const settings::EffectiveSettings>(settings::Resolve(tree));
   active_.revision = root_.revision;
 }
@@ -128,7 +128,7 @@
     root.root_settings = *defaults->value;
     settings::SettingsTree tree = RootOnly(root);
     tree.root.children.emplace(document->service, settings::ParseSubtreeDocument(*document));
-    ThrowFindings(settings::CheckTree(tree));
+    ThrowIfAnyFindings(settings::CheckTree(tree));
     const settings::EffectiveSettings effective = settings::Resolve(tree);
     settings_ = std::make_shared<const settings::ServiceSettings>(effective.services.at(0));
     findings_.clear();
--- a/libs/control/src/simulation/hollow_deployment.cpp
+++ b/libs/control/src/simulation/hollow_deployment.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint16_t kControlPort = 7000;
 constexpr std::uint16_t kDataPort = 7001;
 constexpr std::uint16_t kServicePort = 443;
-constexpr std::uint32_t kOrdinaryWeight = 100;
+constexpr std::uint32_t kDefaultEndpointWeight = 100;
 
 std::string EndpointName(std::size_t service, std::size_t agent) {
   return HollowDeployment::ServiceName(service) + "-" + std::to_string(agent);
@@ -27,7 +27,7 @@
                                    HollowDeploymentSettings settings)
     : simulator_(simulator),
       settings_(std::move(settings)),
-      weights_(settings_.services, kOrdinaryWeight) {
+      weights_(settings_.services, kDefaultEndpointWeight) {
   store_.Commit(MakeTree());
   const std::size_t nodes = settings_.balancers + settings_.services * settings_.agents_per_service;
   for (std::size_t node = 0; node < nodes; ++node) {
@@ -126,10 +126,12 @@
 void HollowDeployment::Kill(std::size_t node) { simulator_.Kill(entries_[node].index); }
 
 void HollowDeployment::Restart(std::size_t node) {
-  base::Incarnation& life = entries_[node].options.metadata.life;
-  // As a process that takes the time of its start in microseconds; the run's time starts at zero.
+  base::Incarnation& incarnation = entries_[node].options.metadata.life;
+  // Like a daemon, the node derives its incarnation from its start time in microseconds. Simulated
+  // time starts at zero.
   const auto started = simulator_.Now().time_since_epoch().count();
-  life = base::Incarnation(std::max(life.value() + 1, static_cast<std::uint64_t>(started)));
+  incarnation =
+      base::Incarnation(std::max(incarnation.value() + 1, static_cast<std::uint64_t>(started)));
   simulator_.Restart(entries_[node].index, MakeLife(node, false));
 }
 
--- a/libs/control/tests/agent_reporter_test.cpp
+++ b/libs/control/tests/agent_reporter_test.cpp
@@ -8,11 +8,11 @@
 class AgentReporterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AgentReporterTest);
   CPPUNIT_TEST(ReportsAtABoundedRate);
-  CPPUNIT_TEST(OnlyAnAnswerForAsNewATableConfirms);
-  CPPUNIT_TEST(AnAnswerThatOvertookItsTableConfirmsWhenTheTableComes);
-  CPPUNIT_TEST(ATableThatChangesWithEachReportStaysConfirmed);
-  CPPUNIT_TEST(AnotherPlannerAndOneThatAsksGetWholeReports);
-  CPPUNIT_TEST(MessagesReadBack);
+  CPPUNIT_TEST(AnswerConfirmsOnlyAnUpToDateTable);
+  CPPUNIT_TEST(EarlyAnswerConfirmsOnceItsTableArrives);
+  CPPUNIT_TEST(TableThatChangesWithEachReportStaysConfirmed);
+  CPPUNIT_TEST(NewPlannerAndRequestGetFullReports);
+  CPPUNIT_TEST(MessagesRoundTrip);
   CPPUNIT_TEST_SUITE_END();
 
   static base::TimePoint At(int milliseconds) {
@@ -21,7 +21,7 @@
 
   void ReportsAtABoundedRate() {
     AgentReporter reporter({});
-    CPPUNIT_ASSERT(!reporter.Tick(At(0)).has_value());  // nothing measured yet
+    CPPUNIT_ASSERT(!reporter.Tick(At(0)).has_value());  // no measurements yet
     routing::AgentReport report;
     report.open_flows = 100;
     int sent = 0;
@@ -32,26 +32,27 @@
     CPPUNIT_ASSERT_EQUAL(10, sent);
     report.open_flows = 200;
     reporter.Update(report);
-    CPPUNIT_ASSERT(reporter.Tick(At(10'010)).has_value());  // much has changed
+    CPPUNIT_ASSERT(reporter.Tick(At(10'010)).has_value());  // significant change
     report.open_flows = 300;
     reporter.Update(report);
     CPPUNIT_ASSERT(!reporter.Tick(At(10'020)).has_value());
     CPPUNIT_ASSERT(reporter.Tick(At(10'210)).has_value());
   }
 
-  void OnlyAnAnswerForAsNewATableConfirms() {
+  void AnswerConfirmsOnlyAnUpToDateTable() {
     AgentReporter reporter({});
     reporter.Update({});
     const std::uint64_t first = reporter.Tick(At(1000))->sequence;
     reporter.HandleAnswer({first, {2, 1, 5}}, {2, 1, 4});
-    CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});  // the planner has a newer one
+    // The planner requires a newer one.
+    CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});
     reporter.HandleAnswer({first + 7, {2, 1, 4}}, {2, 1, 4});
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});  // no such report
     reporter.HandleAnswer({first, {2, 1, 4}}, {2, 1, 4});
-    CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));  // when it was sent, not when answered
+    CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));  // time of sending, not of the answer
   }
 
-  void AnAnswerThatOvertookItsTableConfirmsWhenTheTableComes() {
+  void EarlyAnswerConfirmsOnceItsTableArrives() {
     AgentReporter reporter({});
     reporter.Update({});
     const std::uint64_t first = reporter.Tick(At(1000))->sequence;
@@ -62,8 +63,9 @@
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));
   }
 
-  // The planner's table is always one step ahead of the agent's, as while many endpoints drain.
-  void ATableThatChangesWithEachReportStaysConfirmed() {
+  // Guards against unconfirmed tables while the planner changes its table with each report, as when
+  // many endpoints drain: its table is always one step ahead of the agent's.
+  void TableThatChangesWithEachReportStaysConfirmed() {
     constexpr int kIntervalMilliseconds = 200;
     AgentReporter reporter({});
     routing::AgentReport report;
@@ -80,7 +82,7 @@
     }
   }
 
-  void AnotherPlannerAndOneThatAsksGetWholeReports() {
+  void NewPlannerAndRequestGetFullReports() {
     AgentReporter reporter({});
     routing::AgentReport report;
     report.flows_in_buckets = {30, 0};
@@ -97,11 +99,11 @@
     const NumberedReport fourth = *reporter.Tick(At(3000));
     CPPUNIT_ASSERT_EQUAL(third.sequence, fourth.report.flows_base);
     reporter.HandleAnswer({fourth.sequence, {}, routing::FlowCountsOutcome::kNeedsFullReport}, {});
-    const std::optional<NumberedReport> fifth = reporter.Tick(At(3200));  // and soon
+    const std::optional<NumberedReport> fifth = reporter.Tick(At(3200));  // at the fast interval
     CPPUNIT_ASSERT(fifth->report.flows_in_buckets == report.flows_in_buckets);
   }
 
-  void MessagesReadBack() {
+  void MessagesRoundTrip() {
     NumberedReport report;
     report.sequence = 9;
     report.report.service = base::ServiceId(4);
--- a/libs/control/tests/coordinator_test.cpp
+++ b/libs/control/tests/coordinator_test.cpp
@@ -17,14 +17,14 @@
   CPPUNIT_TEST_SUITE(CoordinatorTest);
   CPPUNIT_TEST(PublishesOnlyWithTheLease);
   CPPUNIT_TEST(SpreadsOverZones);
-  CPPUNIT_TEST(ReplacesDeadMemberAfterAWhile);
+  CPPUNIT_TEST(ReplacesDeadMemberAfterDelay);
   CPPUNIT_TEST(RestartedMemberGetsANewSlot);
   CPPUNIT_TEST(NewEpochKeepsTheMembers);
   CPPUNIT_TEST(ResignsWhenANewerEpochIsKnown);
-  CPPUNIT_TEST(PublishesWhatBalancersMustUnderstand);
+  CPPUNIT_TEST(PublishesRequiredSettingsSchema);
   CPPUNIT_TEST(ElectionFallsBackToAllBalancers);
   CPPUNIT_TEST(GenerationsOfTwoPlannersDiffer);
-  CPPUNIT_TEST(RosterReadsBack);
+  CPPUNIT_TEST(RosterRoundTrips);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -58,7 +58,7 @@
     const Roster roster = Publish(coordinator, {});
     CPPUNIT_ASSERT_EQUAL(kEpoch, roster.epoch);
     CPPUNIT_ASSERT(
-        !coordinator.Tick(directory_, roster, schema_, now_).has_value());  // nothing new
+        !coordinator.Tick(directory_, roster, schema_, now_).has_value());  // nothing changed
     coordinator.OnLeaseLost();
     directory_.Remove(roster.members[0].node);
     now_ += std::chrono::minutes(1);
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, slots.size());
   }
 
-  void ReplacesDeadMemberAfterAWhile() {
+  void ReplacesDeadMemberAfterDelay() {
     Coordinator coordinator(FiveMembers());
     coordinator.OnLeaseHeld(kEpoch, now_);
     const Roster first = Publish(coordinator, {});
@@ -105,7 +105,7 @@
     const std::string zone = directory_.Find(before.node)->metadata->zone;
     directory_.Upsert(MakeBalancer(before.node.value(), zone, 2));
     const ElectedPlanner elected = *ElectPlanner(base::ServiceId(3), first, directory_);
-    CPPUNIT_ASSERT(elected.node != before.node);  // the roster doesn't name its new life yet
+    CPPUNIT_ASSERT(elected.node != before.node);  // the roster doesn't list its new incarnation yet
     const Roster second = Publish(coordinator, first);
     for (const RosterMember& member : second.members) {
       CPPUNIT_ASSERT(member.slot != before.slot);
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(coordinator.MustResign());
   }
 
-  void PublishesWhatBalancersMustUnderstand() {
+  void PublishesRequiredSettingsSchema() {
     Coordinator first(FiveMembers());
     first.OnLeaseHeld(kEpoch, now_);
     schema_ = 3;
@@ -147,7 +147,7 @@
     Coordinator second(FiveMembers());
     second.OnLeaseHeld(kEpoch + 1, now_);
     CPPUNIT_ASSERT_EQUAL(3U,
-                         Publish(second, old).settings_schema);  // as long as it knows no better
+                         Publish(second, old).settings_schema);  // kept until a new value is known
   }
 
   void ElectionFallsBackToAllBalancers() {
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT(in_new_epoch > newest);
   }
 
-  void RosterReadsBack() {
+  void RosterRoundTrips() {
     Roster roster{kEpoch, 3, {{base::NodeId(5), base::Incarnation(6), 7}}, 2};
     CPPUNIT_ASSERT(DecodeRoster(EncodeRoster(roster)) == roster);
     CPPUNIT_ASSERT(!DecodeRoster("\xff\xff").has_value());
--- a/libs/control/tests/settings_activator_test.cpp
+++ b/libs/control/tests/settings_activator_test.cpp
@@ -33,17 +33,17 @@
 
 class SettingsActivatorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SettingsActivatorTest);
-  CPPUNIT_TEST(ActivatesOnlyWhenWhole);
-  CPPUNIT_TEST(PartOfALaterRevisionHoldsTheOlderBack);
-  CPPUNIT_TEST(OnlyWhatChangedIsPublished);
-  CPPUNIT_TEST(MalformedRootIsRefusedAndTheOldStays);
+  CPPUNIT_TEST(ActivatesOnlyWhenComplete);
+  CPPUNIT_TEST(PartOfLaterRevisionBlocksTheOlder);
+  CPPUNIT_TEST(PublishesOnlyChangedRecords);
+  CPPUNIT_TEST(MalformedRootKeepsTheActiveSettings);
   CPPUNIT_TEST(RevisionOfANewerSchemaIsRefused);
   CPPUNIT_TEST(AgentReadsItsService);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr dissemination::RecordStoreLimits kLimits{};
 
-  // Returns the records that a reader without any would publish now.
+  // Returns the records that a store reader without any records would publish.
   static std::vector<PublishedRecord> AllRecords(control_simulation::SimulatedStore& store) {
     const dissemination::RecordStore nothing(kLimits);
     return RecordsFromStore(store.ReadSince(base::Revision())->key_values, nothing).records;
@@ -69,12 +69,12 @@
     CPPUNIT_ASSERT(present.Advance(records) == ActivationResult::kActivated);
   }
 
-  void ActivatesOnlyWhenWhole() {
+  void ActivatesOnlyWhenComplete() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     const std::vector<PublishedRecord> parts = AllRecords(store);
     CPPUNIT_ASSERT(KindOf(parts.back().key) == RecordKind::kSettingsRoot);
-    // The root first, then the rest: the worst order.
+    // The root arrives first, which is the least favourable order.
     dissemination::RecordStore records(kLimits);
     SettingsActivator activator;
     Put(records, parts.back());
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(activator.Advance(records) == ActivationResult::kNothingNewer);
   }
 
-  void PartOfALaterRevisionHoldsTheOlderBack() {
+  void PartOfLaterRevisionBlocksTheOlder() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     dissemination::RecordStore records(kLimits);
@@ -98,7 +98,7 @@
     store.Commit(TreeWithWeight("6"));
     const std::vector<PublishedRecord> second = AllRecords(store);
     SettingsActivator activator;
-    Put(records, second.front());  // one subtree is already the second revision's
+    Put(records, second.front());  // one subtree already belongs to the second revision
     for (const PublishedRecord& record : first) {
       Put(records, record);
     }
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT_EQUAL(base::Revision(2), activator.Active().revision);
   }
 
-  void OnlyWhatChangedIsPublished() {
+  void PublishesOnlyChangedRecords() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     dissemination::RecordStore records(kLimits);
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(published.records[1].key == KeyOf(RecordKind::kSettingsRoot));
   }
 
-  void MalformedRootIsRefusedAndTheOldStays() {
+  void MalformedRootKeepsTheActiveSettings() {
     control_simulation::SimulatedStore store;
     store.Commit(TreeWithWeight("5"));
     dissemination::RecordStore records(kLimits);
--- a/libs/lease/src/lease_holder.cpp
+++ b/libs/lease/src/lease_holder.cpp
@@ -12,7 +12,7 @@
 
 void LeaseHolder::Campaign(base::TimePoint now) {
   if (state_ == State::kIdle) {
-    Look(now);
+    ReadHolder(now);
   }
 }
 
@@ -33,8 +33,8 @@
   }
   awaited_ = LeaseRequestTag{};
   switch (state_) {
-    case State::kLooking:
-      return OnLooked(result, now);
+    case State::kReadingHolder:
+      return OnHolderRead(result, now);
     case State::kGranting:
       return OnGranted(result, now);
     case State::kAcquiring:
@@ -64,13 +64,13 @@
   switch (state_) {
     case State::kBackingOff:
     case State::kWaiting:
-      return Look(now);
+      return ReadHolder(now);
     case State::kResolveLater:
       return ReadKey(State::kResolving, now);
     case State::kHeld:
       return Renew(now);
     case State::kIdle:
-    case State::kLooking:
+    case State::kReadingHolder:
     case State::kGranting:
     case State::kAcquiring:
     case State::kResolving:
@@ -131,9 +131,9 @@
   WaitUntil(state, now + backoff_.Next(random_));
 }
 
-void LeaseHolder::Look(base::TimePoint now) {
+void LeaseHolder::ReadHolder(base::TimePoint now) {
   store_lease_ = store::LeaseId{};
-  ReadKey(State::kLooking, now);
+  ReadKey(State::kReadingHolder, now);
 }
 
 void LeaseHolder::ReadKey(State state, base::TimePoint now) {
@@ -160,12 +160,12 @@
   WaitUntil(State::kHeld, renewed_at_ + settings_.renew_interval);
 }
 
-void LeaseHolder::Lose(base::TimePoint now) {
+void LeaseHolder::MarkLost(base::TimePoint now) {
   token_ = FencingToken{};
-  Look(now);
+  ReadHolder(now);
 }
 
-void LeaseHolder::OnLooked(const store::Result& result, base::TimePoint now) {
+void LeaseHolder::OnHolderRead(const store::Result& result, base::TimePoint now) {
   if (!result.IsOk()) {
     return BackOff(State::kBackingOff, now);
   }
@@ -179,7 +179,8 @@
 
 void LeaseHolder::OnGranted(const store::Result& result, base::TimePoint now) {
   if (!result.IsOk()) {
-    return BackOff(State::kBackingOff, now);  // a lease granted all the same ends by itself
+    // If the lease was granted nevertheless, it expires in the store.
+    return BackOff(State::kBackingOff, now);
   }
   const auto& response = result.Get<store::LeaseGrantResponse>();
   store_lease_ = response.id;
@@ -198,31 +199,34 @@
   if (response.succeeded) {
     return Hold(response.revision, now);
   }
-  // The key is there. It is ours when an earlier acquisition, taken for lost, arrived late.
+  // The key exists. It belongs to this holder if an earlier acquisition, which seemed lost, arrived
+  // late.
   const auto* range = response.responses.empty()
                           ? nullptr
                           : std::get_if<store::RangeResponse>(&response.responses.front());
-  if (range != nullptr && IsOurs(*range)) {
+  if (range != nullptr && IsOwnKey(*range)) {
     return Hold(range->key_values.front().create_revision, now);
   }
-  Look(now);
+  ReadHolder(now);
 }
 
 void LeaseHolder::OnResolved(const store::Result& result, base::TimePoint now) {
   if (now >= held_until_) {
-    return Look(now);  // too late to make use of this store lease
+    return ReadHolder(now);  // too late to use this store lease
   }
   if (!result.IsOk()) {
     return BackOff(State::kResolveLater, now);
   }
   const auto& response = result.Get<store::RangeResponse>();
   if (response.key_values.empty()) {
-    return Acquire(now);  // lost on the way there, or still on the way: both end as ours
+    // The first attempt was lost or is still on its way; a new one is safe, as either creates the
+    // key for this store lease.
+    return Acquire(now);
   }
-  if (IsOurs(response)) {
+  if (IsOwnKey(response)) {
     return Hold(response.key_values.front().create_revision, now);
   }
-  Look(now);
+  ReadHolder(now);
 }
 
 void LeaseHolder::OnRenewed(const store::Result& result, base::TimePoint now) {
@@ -233,7 +237,7 @@
   }
   const auto& response = result.Get<store::LeaseKeepAliveResponse>();
   if (response.ttl_seconds <= 0) {
-    return Lose(now);
+    return MarkLost(now);
   }
   backoff_.Reset();
   ExtendFrom(sent_at_, response.ttl_seconds);
@@ -249,13 +253,13 @@
     return BackOff(State::kHeld, now);
   }
   const auto& response = result.Get<store::RangeResponse>();
-  if (!IsOurs(response)) {
-    return Lose(now);
+  if (!IsOwnKey(response)) {
+    return MarkLost(now);
   }
   Hold(response.key_values.front().create_revision, now);
 }
 
-bool LeaseHolder::IsOurs(const store::RangeResponse& response) const {
+bool LeaseHolder::IsOwnKey(const store::RangeResponse& response) const {
   return !response.key_values.empty() && response.key_values.front().lease == store_lease_;
 }
 
--- a/libs/routing/src/flow_count_encoder.cpp
+++ b/libs/routing/src/flow_count_encoder.cpp
@@ -6,7 +6,7 @@
 namespace gaugevalve::routing {
 namespace {
 
-// Tells whether a count is so far from the one that is known that it must be sent.
+// Tells whether a count differs so much from the one that the planner knows that it must be sent.
 bool IsFarOff(std::uint32_t flows, std::uint32_t known) {
   const std::uint32_t distance = flows > known ? flows - known : known - flows;
   const bool emptiness_differs = (flows == 0) != (known == 0);
@@ -17,7 +17,8 @@
 
 void FlowCountEncoder::EncodeChanges(AgentReport& report) {
   const std::vector<std::uint32_t> flows = std::exchange(report.flows_in_buckets, {});
-  const bool is_remembered = base_.sequence > 0 && report.sequence - base_.sequence < kRemembered;
+  const bool is_remembered =
+      base_.sequence > 0 && report.sequence - base_.sequence < kMaxUnansweredReports;
   if (!is_remembered || base_.flows.size() != flows.size()) {
     base_ = {};
     Slot(report.sequence) = {report.sequence, flows};
@@ -27,7 +28,7 @@
   report.flows_base = base_.sequence;
   std::vector<std::uint32_t> as_sent = base_.flows;
   for (std::size_t position = 0; position < flows.size(); ++position) {
-    if (MustName(position, flows[position])) {
+    if (MustSend(position, flows[position])) {
       const base::BucketIndex bucket(static_cast<std::uint16_t>(position));
       report.flow_changes.push_back({bucket, flows[position]});
       as_sent[position] = flows[position];
@@ -36,12 +37,12 @@
   Slot(report.sequence) = {report.sequence, std::move(as_sent)};
 }
 
-bool FlowCountEncoder::MustName(std::size_t bucket, std::uint32_t flows) const {
-  const bool is_repeated = mechanisms_.repeat_unanswered && WasNamedSinceBase(bucket);
+bool FlowCountEncoder::MustSend(std::size_t bucket, std::uint32_t flows) const {
+  const bool is_repeated = mechanisms_.repeat_unanswered && WasSentSinceBase(bucket);
   return is_repeated || IsFarOff(flows, base_.flows[bucket]);
 }
 
-bool FlowCountEncoder::WasNamedSinceBase(std::size_t bucket) const {
+bool FlowCountEncoder::WasSentSinceBase(std::size_t bucket) const {
   return std::any_of(sent_.begin(), sent_.end(), [&](const Sent& sent) {
     return sent.sequence > base_.sequence && sent.flows[bucket] != base_.flows[bucket];
   });
--- a/libs/routing/src/report_ledger.cpp
+++ b/libs/routing/src/report_store.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/routing/report_ledger.h"
+#include "gaugevalve/routing/report_store.h"
 
 #include <algorithm>
 #include <chrono>
@@ -8,13 +8,13 @@
 namespace gaugevalve::routing {
 namespace {
 
-// A queue longer than this many times the slots adds nothing to the measure of load, so that one
-// absurd report can't outweigh all others.
-constexpr double kMostUtilisation = 4.0;
+// Upper bound of the utilisation of one report: requests in progress and queued, divided by the
+// slots. Without it one absurd report would outweigh all others.
+constexpr double kMaxUtilisation = 4.0;
 
 double Seconds(base::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// Returns the agent's own measure of how busy its endpoint is; 0 for an endpoint without slots.
+// Returns how busy the agent measured its endpoint to be; 0 for an endpoint without slots.
 double SlotUtilisation(const AgentReport& report) {
   if (report.total_slots == 0) {
     return 0.0;
@@ -22,16 +22,16 @@
   const bool measured = report.measured_time > base::Duration::zero();
   const double busy = measured ? Seconds(report.busy_slot_time) / Seconds(report.measured_time)
                                : static_cast<double>(report.busy_slots);
-  const double wanted = std::min<double>(busy, report.total_slots) + report.queued_requests;
-  return std::min(kMostUtilisation, wanted / report.total_slots);
+  const double demand = std::min<double>(busy, report.total_slots) + report.queued_requests;
+  return std::min(kMaxUtilisation, demand / report.total_slots);
 }
 
 }  // namespace
 
-ReportLedger::ReportLedger(base::Duration smoothing_time, base::Duration report_timeout)
+ReportStore::ReportStore(base::Duration smoothing_time, base::Duration report_timeout)
     : smoothing_time_(smoothing_time), report_timeout_(report_timeout) {}
 
-std::optional<std::vector<std::uint32_t>> ReportLedger::WholeFlows(
+std::optional<std::vector<std::uint32_t>> ReportStore::FullFlowCounts(
     const AgentReport& report) const {
   if (report.flows_base == 0) {
     return report.flows_in_buckets;
@@ -52,47 +52,48 @@
   return flows;
 }
 
-ReportOutcome ReportLedger::Take(const AgentReport& report, base::TimePoint now) {
+ReportOutcome ReportStore::Accept(const AgentReport& report, base::TimePoint now) {
   const auto found = records_.find(report.node);
   const bool is_first =
       found == records_.end() || found->second.report.incarnation != report.incarnation;
   const bool is_numbered = report.sequence > 0;
   if (!is_first && is_numbered && report.sequence <= found->second.report.sequence) {
-    return ReportOutcome::kOlderThanKnown;
+    return ReportOutcome::kStale;
   }
   if (!is_first && report.table_version < found->second.report.table_version) {
-    return ReportOutcome::kOlderThanKnown;
+    return ReportOutcome::kStale;
   }
-  std::optional<std::vector<std::uint32_t>> flows = WholeFlows(report);
+  std::optional<std::vector<std::uint32_t>> flows = FullFlowCounts(report);
   if (!flows) {
     return ReportOutcome::kNeedsFullReport;
   }
-  AgentReport whole = report;
-  whole.flows_in_buckets = std::move(*flows);
-  whole.flow_changes.clear();
+  AgentReport full_report = report;
+  full_report.flows_in_buckets = std::move(*flows);
+  full_report.flow_changes.clear();
   if (is_first) {
-    const double utilisation = SlotUtilisation(whole);
-    records_[report.node] = Record{std::move(whole), now, utilisation, 0.0};
+    const double utilisation = SlotUtilisation(full_report);
+    records_[report.node] = Record{std::move(full_report), now, utilisation, 0.0};
     return ReportOutcome::kAccepted;
   }
   Record& record = found->second;
-  constexpr double kLeastInterval = 1e-3;  // seconds; reports that arrive together
-  const double interval = std::max(kLeastInterval, Seconds(now - record.received_at));
+  // Bounds the rates of reports that arrive together.
+  constexpr double kMinReportIntervalSeconds = 1e-3;
+  const double interval = std::max(kMinReportIntervalSeconds, Seconds(now - record.received_at));
   const double part = 1.0 - std::exp(-interval / Seconds(smoothing_time_));
   record.slot_utilisation += part * (SlotUtilisation(report) - record.slot_utilisation);
   record.failure_rate += part * (report.endpoint_failures / interval - record.failure_rate);
-  record.report = std::move(whole);
+  record.report = std::move(full_report);
   record.received_at = now;
   return ReportOutcome::kAccepted;
 }
 
-const AgentReport* ReportLedger::Find(base::NodeId node) const {
+const AgentReport* ReportStore::Find(base::NodeId node) const {
   const auto found = records_.find(node);
   return found == records_.end() ? nullptr : &found->second.report;
 }
 
-std::optional<std::uint32_t> ReportLedger::FlowsInBucket(base::NodeId node,
-                                                         std::size_t bucket) const {
+std::optional<std::uint32_t> ReportStore::FlowsInBucket(base::NodeId node,
+                                                        std::size_t bucket) const {
   const AgentReport* report = Find(node);
   if (report == nullptr || bucket >= report->flows_in_buckets.size()) {
     return std::nullopt;
@@ -100,13 +101,13 @@
   return report->flows_in_buckets[bucket];
 }
 
-double ReportLedger::Trust(const Record& record, base::TimePoint now) const {
+double ReportStore::ReportWeight(const Record& record, base::TimePoint now) const {
   const double age = Seconds(now - record.received_at) / Seconds(report_timeout_);
   return std::clamp(1.0 - age, 0.0, 1.0);
 }
 
-AgentView ReportLedger::View(const AgentStatus& status, base::TimePoint first_seen,
-                             base::TimePoint now) const {
+AgentView ReportStore::View(const AgentStatus& status, base::TimePoint first_seen,
+                            base::TimePoint now) const {
   AgentView view;
   view.node = status.entry.node;
   view.zone = status.entry.zone;
@@ -121,7 +122,7 @@
   view.flow_utilisation = record.report.open_flows / capacity;
   view.utilisation =
       record.report.total_slots > 0 ? record.slot_utilisation : view.flow_utilisation;
-  view.trust = Trust(record, now);
+  view.report_weight = ReportWeight(record, now);
   view.failure_rate = record.failure_rate;
   view.endpoint_uptime = record.report.endpoint_uptime + (now - record.received_at);
   return view;
--- a/libs/routing/tests/table_codec_test.cpp
+++ b/libs/routing/tests/table_codec_test.cpp
@@ -20,7 +20,7 @@
   agents[1].data_address = *base::SocketAddress::Parse("[2001:db8::7]:4001");
   BucketTable table = MakeInitialTable(base::ServiceId(77), {4, 2, 9}, agents, 256);
   Bucket& moved = table.buckets[200];
-  moved.previous_owners = {moved.owner, base::NodeId(5)};  // one of them no agent of the table
+  moved.previous_owners = {moved.owner, base::NodeId(5)};  // the second is no agent of the table
   moved.owner = table.agents[0].node == moved.owner ? table.agents[1].node : table.agents[0].node;
   moved.version = {4, 2, 8};
   return table;
@@ -28,23 +28,23 @@
 
 class TableCodecTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TableCodecTest);
-  CPPUNIT_TEST(TableSurvivesTheRoundTripAndIsSmall);
-  CPPUNIT_TEST(DeltaSurvivesTheRoundTripAndIsSmall);
-  CPPUNIT_TEST(ReportSurvivesTheRoundTrip);
-  CPPUNIT_TEST(TruncatedBytesNeverGiveTheSameTable);
+  CPPUNIT_TEST(TableRoundTripsAndIsSmall);
+  CPPUNIT_TEST(DeltaRoundTripsAndIsSmall);
+  CPPUNIT_TEST(ReportRoundTrips);
+  CPPUNIT_TEST(TruncatedBytesNeverDecodeToTheSameTable);
   CPPUNIT_TEST(ChainThatNamesAnAgentTwiceIsRefused);
   CPPUNIT_TEST(ReportPastItsBucketsIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TableSurvivesTheRoundTripAndIsSmall() {
+  void TableRoundTripsAndIsSmall() {
     const BucketTable table = MakeTable();
     const std::string bytes = EncodeTable(table);
     CPPUNIT_ASSERT(DecodeTable(bytes) == table);
     CPPUNIT_ASSERT(bytes.size() < 1000);
   }
 
-  void DeltaSurvivesTheRoundTripAndIsSmall() {
+  void DeltaRoundTripsAndIsSmall() {
     const BucketTable before = MakeTable();
     BucketTable after = before;
     after.version = {4, 2, 10};
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(bytes.size() < 200);
   }
 
-  void ReportSurvivesTheRoundTrip() {
+  void ReportRoundTrips() {
     AgentReport report;
     report.service = base::ServiceId(77);
     report.node = base::NodeId(5);
@@ -92,14 +92,14 @@
     CPPUNIT_ASSERT(report.flows_in_buckets == decoded.flows_in_buckets);
   }
 
-  void TruncatedBytesNeverGiveTheSameTable() {
+  void TruncatedBytesNeverDecodeToTheSameTable() {
     const BucketTable table = MakeTable();
     const std::string bytes = EncodeTable(table);
     for (std::size_t length = 0; length < bytes.size(); ++length) {
       try {
         CPPUNIT_ASSERT(DecodeTable(bytes.substr(0, length)) != table);
       } catch (const DecodeError&) {
-        continue;  // refused: as good
+        continue;  // a decoding error is right too
       }
     }
   }
--- a/proofs/routing/routing_proof.cpp
+++ b/proofs/routing/routing_proof.cpp
@@ -1,10 +1,10 @@
-// The planner of a service through arbitrary lives of its agents, take-overs from old tables, and
-// late, reordered and lying reports.
+// Stateful property test of the planner of a service: restarts and failures of its agents,
+// take-overs from old tables, and late, reordered and false reports.
 //
-// Oracle: the true flows of every agent. Whoever a bucket's entry no longer names holds no flow in
-// it and opens none, also when it was declared dead and only is cut off from control; owners are
-// live; chains are bounded; moves are bounded; all flows are named once things have settled, and
-// then nothing moves any more.
+// Oracle: the true flows of every agent. An agent that a bucket's entry no longer lists holds no
+// flow in it and opens none, also if it was declared dead and is only isolated from control. Owners
+// are live; chains and moves are bounded. Once the table is stable, all flows are listed and no
+// bucket moves any more.
 
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
@@ -28,7 +28,7 @@
 
 struct NoModel {};
 
-// One event, chosen by number so that shrinking finds a short and simple history.
+// One event, chosen by number so that shrinking finds a short and simple sequence.
 struct Event : rc::state::Command<NoModel, PlannerFleet> {
   std::uint32_t kind = *rc::gen::inRange<std::uint32_t>(0, 26);
   std::uint32_t first = *rc::gen::inRange<std::uint32_t>(0, 64);
@@ -36,7 +36,7 @@
 
   void run(const NoModel& /*model*/, PlannerFleet& fleet) const override {
     Apply(fleet);
-    RC_ASSERT(fleet.Fault() == "");
+    RC_ASSERT(fleet.Violation() == "");
   }
 
   void show(std::ostream& stream) const override {
@@ -55,29 +55,29 @@
         return fleet.CloseFlows(first, second);
       case 4:
       case 5:
-        return fleet.GiveTable(first, 0);
+        return fleet.DeliverTable(first, 0);
       case 6:
-        return fleet.GiveTable(first, second);
+        return fleet.DeliverTable(first, second);
       case 7:
-        return fleet.GiveEntry(first, second);
+        return fleet.DeliverEntry(first, second);
       case 8:
       case 9:
       case 10:
         return fleet.SendReport(first, second);
       case 11:
-        return fleet.SendLie(first * second);
+        return fleet.SendFalseReport(first * second);
       case 12:
       case 13:
       case 14:
         return fleet.DeliverReport(first);
       case 15:
-        return fleet.TellStanding(first, second);
+        return fleet.SetLiveness(first, second);
       case 16:
         return second < 16 ? fleet.Restart(first) : fleet.Step(kShortStep);
       case 17:
         return second < 16 ? fleet.TakeOver(first) : fleet.Step(kShortStep);
       case 18:
-        return second < 48 ? fleet.TellDead(first) : fleet.SayFarewell(first);
+        return second < 48 ? fleet.DeclareDead(first) : fleet.LeaveGracefully(first);
       case 19:
       case 20:
         return fleet.DeliverAnswer(first);
@@ -91,22 +91,23 @@
   }
 };
 
-void KeepsItsRules(const PlannerMechanisms& mechanisms, PlannerFleet::PolicyMaker make_policies,
-                   const routing::FlowCountEncoderMechanisms& digest_mechanisms = {}) {
-  PlannerFleet fleet(mechanisms, make_policies, digest_mechanisms);
+void CheckPlannerInvariants(const PlannerMechanisms& mechanisms,
+                            PlannerFleet::PolicyMaker make_policies,
+                            const routing::FlowCountEncoderMechanisms& encoder_mechanisms = {}) {
+  PlannerFleet fleet(mechanisms, make_policies, encoder_mechanisms);
   rc::state::check(NoModel(), fleet, [](const NoModel& /*model*/) {
     return rc::gen::exec([] {
       return std::shared_ptr<const rc::state::Command<NoModel, PlannerFleet>>(
           std::make_shared<Event>());
     });
   });
-  fleet.ComeToRest();
-  RC_ASSERT(fleet.Fault() == "");
-  RC_ASSERT(fleet.FaultAtRest() == "");
+  fleet.RunUntilStable();
+  RC_ASSERT(fleet.Violation() == "");
+  RC_ASSERT(fleet.ViolationWhenStable() == "");
 }
 
-// Moves buckets whatever their chains.
-class CarelessAssignment final : public routing::AssignmentPolicy {
+// Moves buckets without regard to their chains.
+class ChainIgnoringAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
                              std::span<const routing::AssignmentBucket> buckets,
@@ -122,8 +123,8 @@
   routing::MinimalMovement inner_{0.0};
 };
 
-// Moves all it likes at once.
-class HastyAssignment final : public routing::AssignmentPolicy {
+// Moves any number of buckets at once.
+class UnboundedAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
                              std::span<const routing::AssignmentBucket> buckets,
@@ -135,15 +136,15 @@
   routing::MinimalMovement inner_{0.0};
 };
 
-// Gives a bucket to any agent of the table, live or not.
-class BlindAssignment final : public routing::AssignmentPolicy {
+// Leaves buckets with leaving owners.
+class LeavingOwnerKeepingAssignment final : public routing::AssignmentPolicy {
  public:
   routing::Assignment Assign(std::span<const routing::AssignmentCandidate> candidates,
                              std::span<const routing::AssignmentBucket> buckets,
                              std::size_t allowance) const override {
     routing::Assignment assignment = inner_.Assign(candidates, buckets, allowance);
     std::erase_if(assignment.forced, [&](const routing::BucketMove& move) {
-      return buckets[move.index.value()].owner_alive;  // leaving owners keep their buckets
+      return buckets[move.index.value()].owner_alive;  // the owner is leaving and keeps its bucket
     });
     return assignment;
   }
@@ -159,8 +160,8 @@
   return policies;
 }
 
-// Never more agents out than the cap allows, however they fail and come and go.
-void EjectsNoMoreThan(double cap_used) {
+// Never more agents are ejected than the cap allows, however agents fail, leave and join.
+void CheckEjectionCap(double cap_used) {
   constexpr double kCap = 0.34;
   routing::OutlierEjection ejection(0.5, std::chrono::seconds(30), cap_used);
   base::TimePoint now{};
@@ -180,68 +181,73 @@
   }
 }
 
-const RegisteredProof planner_rules("planner_keeps_its_rules", ProofKind::kHolds, [] {
-  KeepsItsRules(PlannerMechanisms(), routing::MakePlannerPolicies);
+const RegisteredProof planner_invariants("planner_keeps_its_rules", ProofKind::kHolds, [] {
+  CheckPlannerInvariants(PlannerMechanisms(), routing::MakePlannerPolicies);
 });
 
 const RegisteredProof ejection_cap("ejection_keeps_its_cap", ProofKind::kHolds,
-                                   [] { EjectsNoMoreThan(0.34); });
+                                   [] { CheckEjectionCap(0.34); });
 
 const RegisteredProof mutant_keep("without_keeping_the_previous_owner", ProofKind::kMutantIsCaught,
                                   [] {
                                     PlannerMechanisms mechanisms;
                                     mechanisms.keep_previous_owner = false;
-                                    KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+                                    CheckPlannerInvariants(mechanisms,
+                                                           routing::MakePlannerPolicies);
                                   });
 
 const RegisteredProof mutant_reports("without_current_reports", ProofKind::kMutantIsCaught, [] {
   PlannerMechanisms mechanisms;
   mechanisms.current_reports_only = false;
-  KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+  CheckPlannerInvariants(mechanisms, routing::MakePlannerPolicies);
 });
 
 const RegisteredProof mutant_restore("without_restoring_holders", ProofKind::kMutantIsCaught, [] {
   PlannerMechanisms mechanisms;
-  mechanisms.restore_holders = false;
-  KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+  mechanisms.restore_flow_holders = false;
+  CheckPlannerInvariants(mechanisms, routing::MakePlannerPolicies);
 });
 
 const RegisteredProof mutant_stamp("without_starting_over_on_take_over", ProofKind::kMutantIsCaught,
                                    [] {
                                      PlannerMechanisms mechanisms;
-                                     mechanisms.start_over_on_take_over = false;
-                                     KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+                                     mechanisms.restamp_on_take_over = false;
+                                     CheckPlannerInvariants(mechanisms,
+                                                            routing::MakePlannerPolicies);
                                    });
 
 const RegisteredProof mutant_hold("without_holding_buckets_of_the_dead", ProofKind::kMutantIsCaught,
                                   [] {
                                     PlannerMechanisms mechanisms;
-                                    mechanisms.hold_buckets_of_the_dead = false;
-                                    KeepsItsRules(mechanisms, routing::MakePlannerPolicies);
+                                    mechanisms.hold_dead_agent_buckets = false;
+                                    CheckPlannerInvariants(mechanisms,
+                                                           routing::MakePlannerPolicies);
                                   });
 
-const RegisteredProof mutant_digest("without_repeating_unanswered_flows",
-                                    ProofKind::kMutantIsCaught, [] {
-                                      routing::FlowCountEncoderMechanisms mechanisms;
-                                      mechanisms.repeat_unanswered = false;
-                                      KeepsItsRules(PlannerMechanisms(),
-                                                    routing::MakePlannerPolicies, mechanisms);
-                                    });
-
-const RegisteredProof mutant_careless("careless_of_chains", ProofKind::kMutantIsCaught, [] {
-  KeepsItsRules(PlannerMechanisms(), WithAssignment<CarelessAssignment>);
+const RegisteredProof mutant_flow_counts("without_repeating_unanswered_flows",
+                                         ProofKind::kMutantIsCaught, [] {
+                                           routing::FlowCountEncoderMechanisms mechanisms;
+                                           mechanisms.repeat_unanswered = false;
+                                           CheckPlannerInvariants(PlannerMechanisms(),
+                                                                  routing::MakePlannerPolicies,
+                                                                  mechanisms);
+                                         });
+
+const RegisteredProof mutant_chains_ignored("careless_of_chains", ProofKind::kMutantIsCaught, [] {
+  CheckPlannerInvariants(PlannerMechanisms(), WithAssignment<ChainIgnoringAssignment>);
 });
 
-const RegisteredProof mutant_hasty("hasty_moves", ProofKind::kMutantIsCaught, [] {
-  KeepsItsRules(PlannerMechanisms(), WithAssignment<HastyAssignment>);
+const RegisteredProof mutant_unbounded_moves("hasty_moves", ProofKind::kMutantIsCaught, [] {
+  CheckPlannerInvariants(PlannerMechanisms(), WithAssignment<UnboundedAssignment>);
 });
 
-const RegisteredProof mutant_blind("leaving_owners_stay", ProofKind::kMutantIsCaught, [] {
-  KeepsItsRules(PlannerMechanisms(), WithAssignment<BlindAssignment>);
-});
+const RegisteredProof mutant_leaving_owners_stay(
+    "leaving_owners_stay", ProofKind::kMutantIsCaught, [] {
+      CheckPlannerInvariants(PlannerMechanisms(), WithAssignment<LeavingOwnerKeepingAssignment>);
+    });
 
 const RegisteredProof mutant_cap("ejection_without_cap", ProofKind::kMutantIsCaught,
-                                 [] { EjectsNoMoreThan(1.0); });
+                                 [] { CheckEjectionCap(1.0); });
 
 }  // namespace
 }  // namespace gaugevalve::proofs
