--- a/libs/flow/include/gaugevalve/flow/bucket_ownership.h
+++ b/libs/flow/include/gaugevalve/flow/bucket_ownership.h
@@ -56,7 +56,7 @@
   Verdict verdict = Verdict::kDrop;
   base::SocketAddress next_hop;              // kPassOn only
   DropReason reason = DropReason::kNoTable;  // kDrop only
-  bool confirms = false;  // kServe and kOpen: the flow is now confirmed under the newest entry
+  bool confirms_flow = false;  // kServe and kOpen: the flow is now confirmed under the newest entry
 };
 
 // The newest entry of each bucket that this agent has seen, in a table or in a datagram, and the
@@ -69,8 +69,8 @@
 // out, if it was frozen then. So a flow is *confirmed* under an entry, the one under which it was
 // opened at first, and an agent serves only what is confirmed under the newest. Any other datagram
 // goes along the chain once; of all that have the flow, the one that has it confirmed under the
-// newest entry serves it, and confirms it anew. In this way the flows of an agent that was wrongly
-// taken for dead come back when the planner names it again, unless others have opened them.
+// newest entry serves it, and confirms_flow it anew. In this way the flows of an agent that was
+// wrongly taken for dead come back when the planner names it again, unless others have opened them.
 //
 // Memory: one entry per bucket, the size of the first table. Pure and not thread-safe.
 class BucketOwnership {
@@ -96,10 +96,11 @@
   // datagram, and leaves it in the header. `flow_key_hash` is the hash that chose the bucket.
   std::optional<DropReason> Settle(wire::ForwardingHeader& header, std::uint64_t flow_key_hash);
 
-  // Rules on a settled datagram; prepares the header for the next hop where it is passed on. `held`
-  // is the version of the entry under which this agent has the flow confirmed, if it has the flow.
-  Ruling Rule(wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held,
-              base::TimePoint now) const;
+  // Rules on a settled datagram; prepares the header for the next hop where it is passed on.
+  // `held_version` is the version of the entry under which this agent has the flow confirmed, if it
+  // has the flow.
+  Ruling Rule(wire::ForwardingHeader& header,
+              const std::optional<routing::TableVersion>& held_version, base::TimePoint now) const;
 
   // Returns the version of the newest entry known of a bucket, which must be below BucketCount().
   routing::TableVersion EntryVersion(base::BucketIndex bucket) const {
@@ -123,26 +124,28 @@
   bool IsSelf(const wire::AgentAddress& agent) const { return agent.node == identity_.node; }
   std::optional<DropReason> ReasonNotToOpen(const wire::BucketEntry& entry,
                                             base::TimePoint now) const;
-  Ruling StartWalk(wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held,
+  Ruling StartWalk(wire::ForwardingHeader& header,
+                   const std::optional<routing::TableVersion>& held_version,
                    base::TimePoint now) const;
   Ruling ContinueWalk(wire::ForwardingHeader& header,
-                      const std::optional<routing::TableVersion>& held) const;
-  Ruling EndWalk(wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held,
+                      const std::optional<routing::TableVersion>& held_version) const;
+  Ruling EndWalk(wire::ForwardingHeader& header,
+                 const std::optional<routing::TableVersion>& held_version,
                  base::TimePoint now) const;
   Ruling OpenOrRefuse(const wire::BucketEntry& entry, base::TimePoint now) const;
-  Ruling PassToClaimant(wire::ForwardingHeader& header) const;
-  static Ruling PassToOwner(wire::ForwardingHeader& header);
-  static Ruling PassTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header);
+  Ruling ForwardToClaimHolder(wire::ForwardingHeader& header) const;
+  static Ruling ForwardToOwner(wire::ForwardingHeader& header);
+  static Ruling ForwardTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header);
 
   AgentIdentity identity_;
   OwnershipSettings settings_;
   std::vector<wire::BucketEntry> entries_;  // index = bucket
   routing::TableVersion table_version_;
   base::TimePoint confirmed_at_ = base::TimePoint::min();
-  base::TimePoint noted_at_ = base::TimePoint::max();    // of the last NoteTime()
-  base::TimePoint resumed_at_ = base::TimePoint::min();  // end of the last pause
-  bool is_listed_ = false;          // the newest table knows this life of the agent
-  bool others_are_listed_ = false;  // the newest table knows other agents
+  base::TimePoint last_noted_at_ = base::TimePoint::max();  // of the last NoteTime()
+  base::TimePoint resumed_at_ = base::TimePoint::min();     // end of the last pause
+  bool is_listed_ = false;           // the newest table knows this life of the agent
+  bool lists_other_agents_ = false;  // the newest table knows other agents
   std::optional<base::TimePoint> draining_since_;
 };
 
--- a/libs/flow/src/bucket_ownership.cpp
+++ b/libs/flow/src/bucket_ownership.cpp
@@ -7,7 +7,7 @@
 
 Ruling Drop(DropReason reason) { return {Verdict::kDrop, {}, reason, false}; }
 
-Ruling Serve(bool confirms) { return {Verdict::kServe, {}, {}, confirms}; }
+Ruling Serve(bool confirms_flow) { return {Verdict::kServe, {}, {}, confirms_flow}; }
 
 }  // namespace
 
@@ -27,18 +27,18 @@
   confirmed_at_ = std::max(confirmed_at_, confirmed_at);
   const routing::AgentEntry* const self = table.FindAgent(identity_.node);
   is_listed_ = self != nullptr && self->incarnation >= identity_.incarnation;
-  others_are_listed_ = table.agents.size() > (self != nullptr ? 1U : 0U);
+  lists_other_agents_ = table.agents.size() > (self != nullptr ? 1U : 0U);
 }
 
 void BucketOwnership::NoteTime(base::TimePoint now) {
   CheckPause(now);
-  noted_at_ = now;
+  last_noted_at_ = now;
 }
 
 void BucketOwnership::CheckPause(base::TimePoint now) {
-  if (noted_at_ < now - settings_.pause_threshold) {
+  if (last_noted_at_ < now - settings_.pause_threshold) {
     resumed_at_ = now;
-    noted_at_ = now;
+    last_noted_at_ = now;
   }
 }
 
@@ -76,9 +76,9 @@
 }
 
 Ruling BucketOwnership::Rule(wire::ForwardingHeader& header,
-                             const std::optional<routing::TableVersion>& held,
+                             const std::optional<routing::TableVersion>& held_version,
                              base::TimePoint now) const {
-  if (held == header.entry.version) {
+  if (held_version == header.entry.version) {
     return Serve(false);
   }
   if (header.entry.owner.node == base::NodeId()) {
@@ -88,13 +88,13 @@
   const bool is_owner = IsSelf(header.entry.owner);
   Ruling ruling;
   if (header.walk == wire::ChainWalk::kFinished) {
-    ruling = EndWalk(header, held, now);
+    ruling = EndWalk(header, held_version, now);
   } else if (is_owner) {
-    ruling = StartWalk(header, held, now);
+    ruling = StartWalk(header, held_version, now);
   } else if (header.walk == wire::ChainWalk::kWalking) {
-    ruling = ContinueWalk(header, held);
+    ruling = ContinueWalk(header, held_version);
   } else {
-    ruling = PassToOwner(header);
+    ruling = ForwardToOwner(header);
   }
   const bool passes_on = ruling.verdict == Verdict::kPassOn;
   return passes_on && hops_are_spent ? Drop(DropReason::kHopLimit) : ruling;
@@ -102,54 +102,55 @@
 
 // At the owner: asks the first previous owner, or decides when there is none.
 Ruling BucketOwnership::StartWalk(wire::ForwardingHeader& header,
-                                  const std::optional<routing::TableVersion>& held,
+                                  const std::optional<routing::TableVersion>& held_version,
                                   base::TimePoint now) const {
   const auto& chain = header.entry.previous_owners;
   const auto first = std::find_if_not(chain.begin(), chain.end(),
                                       [this](const auto& agent) { return IsSelf(agent); });
   if (first == chain.end()) {
-    return held ? Serve(true) : OpenOrRefuse(header.entry, now);
+    return held_version ? Serve(true) : OpenOrRefuse(header.entry, now);
   }
   header.walk = wire::ChainWalk::kWalking;
-  header.claim = held ? wire::FlowClaim{identity_.node, *held} : wire::FlowClaim();
-  return PassTo(*first, header);
+  header.claim = held_version ? wire::FlowClaim{identity_.node, *held_version} : wire::FlowClaim();
+  return ForwardTo(*first, header);
 }
 
 // At a previous owner: enters its claim and asks the next one; the last one ends the walk.
-Ruling BucketOwnership::ContinueWalk(wire::ForwardingHeader& header,
-                                     const std::optional<routing::TableVersion>& held) const {
+Ruling BucketOwnership::ContinueWalk(
+    wire::ForwardingHeader& header,
+    const std::optional<routing::TableVersion>& held_version) const {
   const auto& chain = header.entry.previous_owners;
   const auto self =
       std::find_if(chain.begin(), chain.end(), [this](const auto& agent) { return IsSelf(agent); });
   if (self == chain.end()) {  // not a stop of this walk
-    return PassToOwner(header);
+    return ForwardToOwner(header);
   }
   const bool is_claimed = header.claim.holder != base::NodeId();
-  if (held && (!is_claimed || *held > header.claim.confirmed)) {
-    header.claim = {identity_.node, *held};
+  if (held_version && (!is_claimed || *held_version > header.claim.confirmed)) {
+    header.claim = {identity_.node, *held_version};
   }
   if (self + 1 != chain.end()) {
-    return PassTo(*(self + 1), header);
+    return ForwardTo(*(self + 1), header);
   }
   header.walk = wire::ChainWalk::kFinished;
-  return header.claim.holder == identity_.node ? Serve(true) : PassToClaimant(header);
+  return header.claim.holder == identity_.node ? Serve(true) : ForwardToClaimHolder(header);
 }
 
 // Where a walk ended: at the agent whose claim is the best, or at the owner when there is none.
 Ruling BucketOwnership::EndWalk(wire::ForwardingHeader& header,
-                                const std::optional<routing::TableVersion>& held,
+                                const std::optional<routing::TableVersion>& held_version,
                                 base::TimePoint now) const {
   const bool is_claimed = header.claim.holder != base::NodeId();
   const bool is_own_claim = header.claim.holder == identity_.node;
   const bool is_owner = IsSelf(header.entry.owner);
-  if (is_own_claim && held) {
+  if (is_own_claim && held_version) {
     return Serve(true);
   }
-  if (is_owner && !is_claimed && !held) {
+  if (is_owner && !is_claimed && !held_version) {
     return OpenOrRefuse(header.entry, now);
   }
-  // The claimant has closed the flow since, or the datagram has gone astray: ask anew.
-  return is_owner ? StartWalk(header, held, now) : PassToOwner(header);
+  // The claim_holder has closed the flow since, or the datagram has gone astray: ask anew.
+  return is_owner ? StartWalk(header, held_version, now) : ForwardToOwner(header);
 }
 
 Ruling BucketOwnership::OpenOrRefuse(const wire::BucketEntry& entry, base::TimePoint now) const {
@@ -170,7 +171,7 @@
     return DropReason::kChainCut;
   }
   const bool grace_is_over = draining_since_ && now - *draining_since_ > settings_.drain_grace;
-  if (grace_is_over && others_are_listed_) {
+  if (grace_is_over && lists_other_agents_) {
     return DropReason::kDraining;
   }
   return std::nullopt;
@@ -184,21 +185,21 @@
   });
 }
 
-Ruling BucketOwnership::PassToClaimant(wire::ForwardingHeader& header) const {
+Ruling BucketOwnership::ForwardToClaimHolder(wire::ForwardingHeader& header) const {
   const auto& chain = header.entry.previous_owners;
-  const auto claimant = std::find_if(chain.begin(), chain.end(), [&](const auto& agent) {
+  const auto claim_holder = std::find_if(chain.begin(), chain.end(), [&](const auto& agent) {
     return agent.node == header.claim.holder;
   });
-  return PassTo(claimant == chain.end() ? header.entry.owner : *claimant, header);
+  return ForwardTo(claim_holder == chain.end() ? header.entry.owner : *claim_holder, header);
 }
 
-Ruling BucketOwnership::PassToOwner(wire::ForwardingHeader& header) {
+Ruling BucketOwnership::ForwardToOwner(wire::ForwardingHeader& header) {
   header.walk = wire::ChainWalk::kNotStarted;
   header.claim = {};
-  return PassTo(header.entry.owner, header);
+  return ForwardTo(header.entry.owner, header);
 }
 
-Ruling BucketOwnership::PassTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header) {
+Ruling BucketOwnership::ForwardTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header) {
   header.target = agent.node;
   header.target_incarnation = agent.incarnation;
   ++header.hop_count;
--- a/libs/flow/src/flow_core.cpp
+++ b/libs/flow/src/flow_core.cpp
@@ -28,7 +28,7 @@
   switch (ruling.verdict) {
     case Verdict::kServe:
       table_.Touch(*flow, now);
-      if (ruling.confirms) {
+      if (ruling.confirms_flow) {
         table_.SetConfirmed(*flow, ownership_.EntryVersion(header.bucket));
       }
       return Relay{*flow, false};
--- a/libs/flow/src/source_limiter.cpp
+++ b/libs/flow/src/source_limiter.cpp
@@ -37,12 +37,12 @@
   const std::uint64_t hash = base::HashBytes(source.address, settings_.seed);
   base::TimePoint& first = rows_[0][(hash >> kHalfHashBits) % rows_[0].size()];
   base::TimePoint& second = rows_[1][static_cast<std::uint32_t>(hash) % rows_[1].size()];
-  const base::TimePoint paid_until = std::max(std::min(first, second), now);
-  if (paid_until - now > tolerance_) {
+  const base::TimePoint theoretical_arrival = std::max(std::min(first, second), now);
+  if (theoretical_arrival - now > tolerance_) {
     return false;
   }
-  first = std::max(first, paid_until + interval_);
-  second = std::max(second, paid_until + interval_);
+  first = std::max(first, theoretical_arrival + interval_);
+  second = std::max(second, theoretical_arrival + interval_);
   return true;
 }
 
--- a/libs/flow/tests/bucket_ownership_test.cpp
+++ b/libs/flow/tests/bucket_ownership_test.cpp
@@ -55,14 +55,14 @@
   }
 
   // Returns "serve", "open", "pass:PORT" or the reason for the drop.
-  // `held` is the version under which the agent has the flow confirmed; 0 is "not at all".
-  std::string Decide(wire::ForwardingHeader& header, std::uint32_t held = 0,
+  // `held_version` is the version under which the agent has the flow confirmed; 0 is "not at all".
+  std::string Decide(wire::ForwardingHeader& header, std::uint32_t held_version = 0,
                      base::Duration age = base::Duration(0)) {
     if (const auto reason = ownership_.Settle(header, kFlowHash)) {
       return std::string(ToString(*reason));
     }
     const auto confirmed =
-        held > 0 ? std::optional(routing::TableVersion{1, 0, held}) : std::nullopt;
+        held_version > 0 ? std::optional(routing::TableVersion{1, 0, held_version}) : std::nullopt;
     const Ruling ruling = ownership_.Rule(header, confirmed, base::TimePoint() + age);
     switch (ruling.verdict) {
       case Verdict::kServe:
--- a/libs/requests/include/gaugevalve/requests/admission_queue.h
+++ b/libs/requests/include/gaugevalve/requests/admission_queue.h
@@ -99,25 +99,25 @@
   base::Duration ServiceTime() const { return service_time_; }
 
   // Returns how long a request that came now would wait for a slot.
-  base::Duration EstimatedWait() const { return WaitAt(waiting_.size()); }
+  base::Duration EstimatedWait() const { return EstimatedWaitAt(waiting_.size()); }
 
  private:
-  base::Duration WaitAt(std::size_t position) const;
-  bool GoesBefore(const AdmissionRequest& left, const AdmissionRequest& right) const;
+  base::Duration EstimatedWaitAt(std::size_t position) const;
+  bool HasPrecedence(const AdmissionRequest& left, const AdmissionRequest& right) const;
   bool CanFinishInTime(const AdmissionRequest& request, std::size_t position,
                        base::TimePoint now) const;
   std::optional<RefusalReason> ReasonToRefuse(const AdmissionRequest& request, std::size_t position,
                                               base::TimePoint now) const;
-  void ReviewBrownOut();
+  void UpdateBrownOut();
   Refusal MakeRefusal(RefusalReason reason);
   void FillSlots(base::TimePoint now, AdmissionActions& actions);
-  void RefuseHopeless(base::TimePoint now, AdmissionActions& actions);
-  void RefuseSurplus(AdmissionActions& actions);
+  void RefuseUnmeetableDeadlines(base::TimePoint now, AdmissionActions& actions);
+  void RefuseExcess(AdmissionActions& actions);
 
   AdmissionLimits limits_;
   base::RandomSource& random_;
   bool draining_ = false;
-  bool browned_out_ = false;
+  bool in_brown_out_ = false;
   base::Duration service_time_;
   std::vector<AdmissionRequest> waiting_;                   // in order of start
   std::unordered_map<RequestId, base::TimePoint> running_;  // with the time of their start
--- a/libs/requests/include/gaugevalve/requests/at_most_once.h
+++ b/libs/requests/include/gaugevalve/requests/at_most_once.h
@@ -36,8 +36,8 @@
 
 namespace gaugevalve::requests {
 
-class BucketSettlements;
-class MemoryHorizon;
+class BucketCollections;
+class HistoryCompleteness;
 
 // The mechanisms of the guarantee. All are on; a proof switches one off to show that it would
 // notice.
@@ -158,7 +158,7 @@
   base::BucketIndex BucketOf(const KeyDigest& key) const;
   const routing::Bucket& EntryOf(base::BucketIndex bucket) const;
   bool IsLive(base::NodeId node) const;
-  bool IsLiveLife(base::NodeId node, base::Incarnation incarnation) const;
+  bool IsLiveIncarnation(base::NodeId node, base::Incarnation incarnation) const;
   bool HasSecondCopy(const ExecutionRecord& record) const;
   bool IsOwner(base::BucketIndex bucket, base::TimePoint now) const;
   bool Acknowledge(base::BucketIndex bucket, const routing::TableVersion& version);
@@ -166,14 +166,14 @@
                       base::TimePoint now) const;
   std::optional<base::NodeId> ChooseCopyHolder(const KeyDigest& key) const;
 
-  void NoteLosses(const routing::BucketTable& before, base::TimePoint unchanged_until,
-                  base::TimePoint now);
-  void ForgetHolder(base::NodeId lost);
+  void RecordLosses(const routing::BucketTable& before, base::TimePoint last_confirmed_at,
+                    base::TimePoint now);
+  void ClearHolder(base::NodeId lost);
   void RestoreCopies(base::TimePoint now, AtMostOnceActions& actions);
   void SendRestoration(const KeyDigest& key, Restoration& restoration, base::TimePoint now,
                        AtMostOnceActions& actions);
-  void StartSettlements(base::TimePoint now, AtMostOnceActions& actions);
-  void AskForCollections(base::TimePoint now, AtMostOnceActions& actions);
+  void StartCollections(base::TimePoint now, AtMostOnceActions& actions);
+  void SendCollectRequests(base::TimePoint now, AtMostOnceActions& actions);
 
   proto::Verdict Decide(const ExecutionRecord& wanted, const std::optional<base::Duration>& key_age,
                         base::TimePoint now);
@@ -184,7 +184,7 @@
   void Run(Pending& pending, AtMostOnceActions& actions);
   void End(RequestId id, const ExecutionRecord& known, proto::Verdict verdict,
            AtMostOnceActions& actions);
-  void EndWithKnown(RequestId id, const ExecutionRecord& known, AtMostOnceActions& actions);
+  void EndWithKnownRecord(RequestId id, const ExecutionRecord& known, AtMostOnceActions& actions);
   void Refuse(RequestId id, RequestOutcome outcome, RefusalReason reason,
               AtMostOnceActions& actions);
   void Withdraw(const Pending& pending, base::TimePoint now, AtMostOnceActions& actions);
@@ -195,8 +195,8 @@
 
   void OnPermitRequest(base::NodeId sender, const proto::PermitRequest& message,
                        base::TimePoint now, AtMostOnceActions& actions);
-  void RemindExecutor(const ExecutionRecord& record, base::TimePoint now,
-                      AtMostOnceActions& actions);
+  void QueryExecutor(const ExecutionRecord& record, base::TimePoint now,
+                     AtMostOnceActions& actions);
   void OnPermitReply(base::NodeId sender, const proto::PermitReply& message, base::TimePoint now,
                      AtMostOnceActions& actions);
   void OnPermitToRun(Pending& pending, const proto::PermitReply& message, base::TimePoint now,
@@ -223,8 +223,8 @@
   absl::flat_hash_map<RequestId, Pending> pending_;
   absl::flat_hash_map<std::uint64_t, RequestId> by_grant_;  // the pending ones' grant numbers
   absl::flat_hash_map<KeyDigest, Restoration> restorations_;
-  std::unique_ptr<BucketSettlements> settlements_;
-  std::unique_ptr<MemoryHorizon> horizon_;
+  std::unique_ptr<BucketCollections> collections_;
+  std::unique_ptr<HistoryCompleteness> completeness_;
   base::TimePoint unix_epoch_;  // on our time line
   std::uint64_t next_grant_ = 1;
 };
--- a/libs/requests/include/gaugevalve/requests/frame_sender.h
+++ b/libs/requests/include/gaugevalve/requests/frame_sender.h
@@ -19,9 +19,8 @@
 class FrameSender {
  public:
   // `credit` frames may be sent before the receiver says anything. The pause between repeats
-  // doubles from `resend_interval` up to `longest_interval`.
-  FrameSender(std::uint64_t credit, base::Duration resend_interval,
-              base::Duration longest_interval);
+  // doubles from `resend_interval` up to `max_interval`.
+  FrameSender(std::uint64_t credit, base::Duration resend_interval, base::Duration max_interval);
 
   // Adds a frame; its sequence is set here.
   void Push(proto::HandOverFrame frame);
@@ -35,11 +34,12 @@
   // Returns the frames to send now: new ones, and those whose repeat is due.
   std::vector<proto::HandOverFrame> TakeDue(base::TimePoint now);
 
-  // Starts over towards another receiver, which gives credit anew. Only while IsUntouched().
+  // Starts over towards another receiver, which gives credit anew. Only while
+  // HasNothingAcknowledged().
   void Rewind();
 
   // Returns whether nothing was acknowledged: all that was pushed is still here.
-  bool IsUntouched() const { return first_ == 0; }
+  bool HasNothingAcknowledged() const { return first_ == 0; }
   bool HasRoom() const { return frames_.size() < kWindowFrames; }
   // Returns whether all that was pushed is acknowledged.
   bool IsDrained() const { return frames_.empty(); }
@@ -49,7 +49,7 @@
   std::uint64_t initial_credit_;
   std::uint64_t credit_limit_;
   base::Duration resend_interval_;
-  base::Duration longest_interval_;
+  base::Duration max_interval_;
   base::Duration interval_;
   std::deque<proto::HandOverFrame> frames_;
   std::uint64_t first_ = 0;  // sequence of frames_.front()
--- a/libs/requests/include/gaugevalve/requests/hand_over.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over.h
@@ -60,7 +60,7 @@
   std::shared_ptr<const routing::BucketTable> table_;
   base::TimePoint announce_at_{};
   std::size_t next_announced_ = 0;  // index into the table's agents
-  bool took_requests_ = false;
+  bool announced_takes_requests_ = false;
 };
 
 }  // namespace gaugevalve::requests
--- a/libs/requests/include/gaugevalve/requests/hand_over_executor.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_executor.h
@@ -10,13 +10,13 @@
 #include "gaugevalve/requests/frame_sender.h"
 #include "gaugevalve/requests/hand_over_actions.h"
 #include "gaugevalve/requests/hand_over_limits.h"
-#include "gaugevalve/requests/offer_memory.h"
+#include "gaugevalve/requests/offer_deduplicator.h"
 
 namespace gaugevalve::requests {
 
 // Runs for other agents. Each offer becomes at most one RunOffered: a repeat of one that ended is
-// told from a new one by OfferMemory, and an offer to a former life of this agent is passed over.
-// Until its origin has closed a run, or is silent or replaced, what is to be said of it is
+// told from a new one by OfferDeduplicator, and an offer to a former life of this agent is passed
+// over. Until its origin has closed a run, or is silent or replaced, what is to be said of it is
 // repeated.
 //
 // A run whose deadline passes before its answer begins is cancelled, one that is cancelled before
@@ -51,7 +51,7 @@
                  HandOverActions& actions);
 
   // The table lists this life of an agent: what a former one offered is over.
-  void OnNewLife(base::NodeId node, base::Incarnation incarnation, HandOverActions& actions);
+  void OnNewIncarnation(base::NodeId node, base::Incarnation incarnation, HandOverActions& actions);
 
   void OnTimer(base::TimePoint now, HandOverActions& actions);
 
@@ -77,10 +77,10 @@
                HandOverActions& actions);
   void OnUnknown(const HandOverId& id, const proto::HandOverMessage& message, base::TimePoint now,
                  HandOverActions& actions);
-  void Take(const HandOverId& id, Run& run, const proto::HandOverMessage& message,
-            base::TimePoint now, HandOverActions& actions);
-  void TakeBody(const HandOverId& id, Run& run, const proto::HandOverFrame& frame,
-                HandOverActions& actions) const;
+  void HandleMessage(const HandOverId& id, Run& run, const proto::HandOverMessage& message,
+                     base::TimePoint now, HandOverActions& actions);
+  void HandleBodyFrame(const HandOverId& id, Run& run, const proto::HandOverFrame& frame,
+                       HandOverActions& actions) const;
   void SendAnswer(const HandOverId& id, Run& run, base::TimePoint now,
                   HandOverActions& actions) const;
   void SendAcknowledgement(const HandOverId& id, const Run& run, HandOverActions& actions) const;
@@ -91,7 +91,7 @@
   base::NodeId self_;
   base::Incarnation incarnation_;
   HandOverLimits limits_;
-  OfferMemory memory_;
+  OfferDeduplicator deduplicator_;
   absl::flat_hash_map<HandOverId, Run> runs_;
 };
 
--- a/libs/requests/include/gaugevalve/requests/hand_over_origin.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_origin.h
@@ -23,7 +23,7 @@
   RequestId id;
   proto::HandOverRequestHead head;
   base::TimePoint deadline;
-  bool is_safe = false;  // a safe method (RFC 9110): may be repeated after a silence
+  bool is_safe = false;  // a safe method (RFC 9110): may be repeated after a peer_timeout
   bool was_handed_over = false;
 };
 
@@ -34,7 +34,7 @@
 // peer takes the request; a peer that falls silent, starts anew or has forgotten the request leaves
 // the outcome unknown, and only a safe request of which no part was consumed is then offered again,
 // within the retry budget. The deadline ends a request whose answer has not begun, as it does at
-// the agent's own endpoint; an answer that has begun ends with the peer's silence.
+// the agent's own endpoint; an answer that has begun ends with the peer's peer_timeout.
 //
 // Bounded by HandOverLimits: when full nothing is taken. Not thread-safe.
 class HandOverOrigin {
@@ -64,8 +64,8 @@
                  HandOverActions& actions);
 
   // The table lists another life of a peer: what it held is lost.
-  void OnNewLife(base::NodeId node, base::Incarnation incarnation, base::TimePoint now,
-                 HandOverActions& actions);
+  void OnNewIncarnation(base::NodeId node, base::Incarnation incarnation, base::TimePoint now,
+                        HandOverActions& actions);
 
   void OnTimer(base::TimePoint now, HandOverActions& actions);
 
@@ -97,11 +97,11 @@
   void SendAcknowledgement(const Exchange& exchange, HandOverActions& actions) const;
   void OnAnswerFrame(Exchange& exchange, const proto::HandOverFrame& frame, base::TimePoint now,
                      HandOverActions& actions);
-  void TakeFrame(Exchange& exchange, const proto::HandOverFrame& frame, base::TimePoint now,
-                 HandOverActions& actions);
+  void HandleAnswerFrame(Exchange& exchange, const proto::HandOverFrame& frame, base::TimePoint now,
+                         HandOverActions& actions);
   void OnRefusal(Exchange& exchange, const Refusal& refusal, base::TimePoint now,
                  HandOverActions& actions);
-  void OnLost(Exchange& exchange, base::TimePoint now, HandOverActions& actions);
+  void OnExecutorLost(Exchange& exchange, base::TimePoint now, HandOverActions& actions);
   bool MayRepeat(const Exchange& exchange, base::TimePoint now);
   bool OfferElsewhere(Exchange& exchange, base::TimePoint now, HandOverActions& actions);
   void RefuseAsLost(RequestId id, HandOverActions& actions);
--- a/libs/requests/include/gaugevalve/requests/peer_loads.h
+++ b/libs/requests/include/gaugevalve/requests/peer_loads.h
@@ -53,7 +53,7 @@
   void SetTable(const routing::BucketTable& table);
 
   // Takes an announcement.
-  void Learn(const proto::HandOverLoad& load, base::TimePoint now);
+  void Update(const proto::HandOverLoad& load, base::TimePoint now);
 
   // Returns the better of two random peers that have room ("power of two choices"), none of those
   // tried before; nothing when no peer will do.
@@ -61,11 +61,11 @@
                                    base::RandomSource& random, base::TimePoint now) const;
 
   // A hand-over to this peer began, or ended.
-  void Began(base::NodeId node);
-  void Ended(base::NodeId node);
+  void OnHandOverBegun(base::NodeId node);
+  void OnHandOverEnded(base::NodeId node);
 
   // The peer refused: it has no room until it announces some.
-  void Refused(base::NodeId node);
+  void OnRefused(base::NodeId node);
 
   std::size_t InFlight(base::NodeId node) const;
   std::size_t Size() const { return peers_.size(); }
--- a/libs/requests/include/gaugevalve/requests/request_pipeline.h
+++ b/libs/requests/include/gaugevalve/requests/request_pipeline.h
@@ -118,15 +118,16 @@
 
   void OpenStream(const ArrivedRequest& request, PipelineActions& actions);
   void Admit(Request& request, base::TimePoint now, PipelineActions& actions);
-  void Take(const AdmissionActions& admitted, base::TimePoint now, PipelineActions& actions);
-  void Take(AtMostOnceActions keyed, base::TimePoint now, PipelineActions& actions);
-  void RefuseHere(const RefusedRequest& refused, base::TimePoint now, PipelineActions& actions);
+  void Apply(const AdmissionActions& admitted, base::TimePoint now, PipelineActions& actions);
+  void Apply(AtMostOnceActions keyed, base::TimePoint now, PipelineActions& actions);
+  void OnAdmissionRefusal(const RefusedRequest& refused, base::TimePoint now,
+                          PipelineActions& actions);
   bool Retry(Request& request, base::TimePoint now, PipelineActions& actions);
-  void LeaveSlot(const Request& request, bool counts_as_sample, base::TimePoint now,
-                 PipelineActions& actions);
-  void EndKeyed(RequestId id, ExecutionState state, const StoredAnswer& answer, base::TimePoint now,
-                PipelineActions& actions);
-  void GiveUpOverdue(base::TimePoint now, PipelineActions& actions);
+  void ReleaseSlot(const Request& request, bool counts_as_sample, base::TimePoint now,
+                   PipelineActions& actions);
+  void FinishKeyed(RequestId id, ExecutionState state, const StoredAnswer& answer,
+                   base::TimePoint now, PipelineActions& actions);
+  void AbortOverdue(base::TimePoint now, PipelineActions& actions);
 
   base::Duration default_timeout_;
   AdmissionQueue admission_;
--- a/libs/requests/src/admission_queue.cpp
+++ b/libs/requests/src/admission_queue.cpp
@@ -7,10 +7,10 @@
 
 // Weight of one sample in the smoothed service time: 1/8, as in TCP's smoothed round trip (RFC
 // 6298).
-constexpr std::int64_t kSmoothing = 8;
+constexpr std::int64_t kSmoothingDivisor = 8;
 
 // A hint below this would only bring the caller back into the same crowd.
-constexpr base::Duration kShortestRetryAfter{1'000'000};
+constexpr base::Duration kMinRetryAfter{1'000'000};
 
 }  // namespace
 
@@ -19,10 +19,10 @@
 
 AdmissionActions AdmissionQueue::Submit(const AdmissionRequest& request, base::TimePoint now) {
   AdmissionActions actions;
-  RefuseHopeless(now, actions);
-  ReviewBrownOut();
+  RefuseUnmeetableDeadlines(now, actions);
+  UpdateBrownOut();
   const auto place = std::find_if(waiting_.begin(), waiting_.end(),
-                                  [&](const auto& other) { return GoesBefore(request, other); });
+                                  [&](const auto& other) { return HasPrecedence(request, other); });
   const auto position = static_cast<std::size_t>(place - waiting_.begin());
   const std::optional<RefusalReason> reason = ReasonToRefuse(request, position, now);
   if (reason) {
@@ -31,7 +31,7 @@
   }
   waiting_.insert(place, request);
   FillSlots(now, actions);
-  RefuseSurplus(actions);
+  RefuseExcess(actions);
   return actions;
 }
 
@@ -55,11 +55,11 @@
     return actions;
   }
   if (counts_as_sample) {
-    service_time_ += (now - found->second - service_time_) / kSmoothing;
+    service_time_ += (now - found->second - service_time_) / kSmoothingDivisor;
   }
   running_.erase(found);
   FillSlots(now, actions);
-  RefuseHopeless(now, actions);
+  RefuseUnmeetableDeadlines(now, actions);
   return actions;
 }
 
@@ -69,7 +69,7 @@
 
 AdmissionActions AdmissionQueue::OnTimer(base::TimePoint now) {
   AdmissionActions actions;
-  RefuseHopeless(now, actions);
+  RefuseUnmeetableDeadlines(now, actions);
   FillSlots(now, actions);
   return actions;
 }
@@ -88,12 +88,12 @@
   limits_ = limits;
   AdmissionActions actions;
   FillSlots(now, actions);
-  RefuseSurplus(actions);
+  RefuseExcess(actions);
   return actions;
 }
 
 // A slot frees up every service_time / slots on average; those before it in the queue come first.
-base::Duration AdmissionQueue::WaitAt(std::size_t position) const {
+base::Duration AdmissionQueue::EstimatedWaitAt(std::size_t position) const {
   const std::size_t slots = std::max<std::size_t>(limits_.slots, 1);
   const std::size_t free_slots = slots - std::min(slots, running_.size());
   if (position < free_slots) {
@@ -103,7 +103,8 @@
   return service_time_ * slots_to_free / static_cast<std::int64_t>(slots);
 }
 
-bool AdmissionQueue::GoesBefore(const AdmissionRequest& left, const AdmissionRequest& right) const {
+bool AdmissionQueue::HasPrecedence(const AdmissionRequest& left,
+                                   const AdmissionRequest& right) const {
   if (left.urgency != right.urgency) {
     return left.urgency < right.urgency;
   }
@@ -112,7 +113,7 @@
 
 bool AdmissionQueue::CanFinishInTime(const AdmissionRequest& request, std::size_t position,
                                      base::TimePoint now) const {
-  return now + WaitAt(position) + service_time_ <= request.deadline;
+  return now + EstimatedWaitAt(position) + service_time_ <= request.deadline;
 }
 
 std::optional<RefusalReason> AdmissionQueue::ReasonToRefuse(const AdmissionRequest& request,
@@ -129,28 +130,28 @@
   }
   const std::size_t free_slots =
       limits_.slots - std::min<std::size_t>(limits_.slots, running_.size());
-  const std::size_t most_waiting = free_slots + limits_.queue_length;
-  if (position >= most_waiting) {
+  const std::size_t max_waiting = free_slots + limits_.queue_length;
+  if (position >= max_waiting) {
     return RefusalReason::kQueueFull;
   }
-  if (browned_out_ && request.urgency > limits_.brown_out_urgency) {
+  if (in_brown_out_ && request.urgency > limits_.brown_out_urgency) {
     return RefusalReason::kBrownOut;
   }
   return std::nullopt;
 }
 
 // Two thresholds, so that the queue doesn't flap around one.
-void AdmissionQueue::ReviewBrownOut() {
+void AdmissionQueue::UpdateBrownOut() {
   const double capacity = limits_.slots + limits_.queue_length;
   const double in_use = static_cast<double>(running_.size() + waiting_.size());
   const double share = capacity > 0 ? in_use / capacity : 1.0;
-  const bool stays = browned_out_ && share >= limits_.brown_out_leave;
-  browned_out_ = limits_.brown_out_enter < 1.0 && (stays || share >= limits_.brown_out_enter);
+  const bool stays = in_brown_out_ && share >= limits_.brown_out_leave;
+  in_brown_out_ = limits_.brown_out_enter < 1.0 && (stays || share >= limits_.brown_out_enter);
 }
 
 Refusal AdmissionQueue::MakeRefusal(RefusalReason reason) {
   // The queue empties in about EstimatedWait(); callers spread over as long again.
-  const base::Duration base_wait = std::max(EstimatedWait(), kShortestRetryAfter);
+  const base::Duration base_wait = std::max(EstimatedWait(), kMinRetryAfter);
   return {RequestOutcome::kNotRun, reason, base_wait + random_.NextJitter(base_wait)};
 }
 
@@ -169,7 +170,7 @@
   waiting_.erase(waiting_.begin(), waiting_.begin() + static_cast<std::ptrdiff_t>(taken));
 }
 
-void AdmissionQueue::RefuseHopeless(base::TimePoint now, AdmissionActions& actions) {
+void AdmissionQueue::RefuseUnmeetableDeadlines(base::TimePoint now, AdmissionActions& actions) {
   std::size_t kept = 0;
   for (std::size_t index = 0; index < waiting_.size(); ++index) {
     if (CanFinishInTime(waiting_[index], kept, now)) {
@@ -182,7 +183,7 @@
   waiting_.resize(kept);
 }
 
-void AdmissionQueue::RefuseSurplus(AdmissionActions& actions) {
+void AdmissionQueue::RefuseExcess(AdmissionActions& actions) {
   while (waiting_.size() > limits_.queue_length) {
     actions.refused.push_back({waiting_.back().id, MakeRefusal(RefusalReason::kQueueFull)});
     waiting_.pop_back();
--- a/libs/requests/src/at_most_once.cpp
+++ b/libs/requests/src/at_most_once.cpp
@@ -2,15 +2,15 @@
 
 #include <algorithm>
 
-#include "bucket_settlements.h"
+#include "bucket_collections.h"
 #include "gaugevalve/base/hash.h"
-#include "memory_horizon.h"
+#include "history_completeness.h"
 #include "message_codec.h"
 
 namespace gaugevalve::requests {
 namespace {
 
-bool SameLife(const routing::AgentEntry& left, const routing::AgentEntry& right) {
+bool SameIncarnation(const routing::AgentEntry& left, const routing::AgentEntry& right) {
   return left.node == right.node && left.incarnation == right.incarnation;
 }
 
@@ -23,8 +23,9 @@
       incarnation_(incarnation),
       limits_(limits),
       records_(limits.window, limits.record_capacity),
-      settlements_(std::make_unique<BucketSettlements>(limits.resend_interval)),
-      horizon_(std::make_unique<MemoryHorizon>(limits.restore_time, limits.freshness, now)),
+      collections_(std::make_unique<BucketCollections>(limits.resend_interval)),
+      completeness_(
+          std::make_unique<HistoryCompleteness>(limits.restore_time, limits.freshness, now)),
       unix_epoch_(now - wall_time) {}
 
 AtMostOnce::~AtMostOnce() = default;
@@ -36,7 +37,7 @@
 AtMostOnceActions AtMostOnce::SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                                        base::TimePoint confirmed_at, base::TimePoint now) {
   AtMostOnceActions actions;
-  const base::TimePoint unchanged_until = confirmed_at_;
+  const base::TimePoint last_confirmed_at = confirmed_at_;
   confirmed_at_ = std::max(confirmed_at_, confirmed_at);
   const bool newer = table_ == nullptr || table->version > table_->version;
   if (!newer || table->buckets.empty()) {
@@ -49,11 +50,11 @@
     acknowledged_[index] = std::max(acknowledged_[index], table->buckets[index].version);
   }
   if (before == nullptr) {
-    horizon_->Begin(now);
+    completeness_->OnFirstTable(now);
   } else {
-    NoteLosses(*before, unchanged_until, now);
+    RecordLosses(*before, last_confirmed_at, now);
   }
-  StartSettlements(now, actions);
+  StartCollections(now, actions);
   RestoreCopies(now, actions);
   for (auto& [id, pending] : pending_) {
     if (pending.phase != Phase::kRunning) {
@@ -63,24 +64,25 @@
   return actions;
 }
 
-// The table was confirmed at `unchanged_until`: what was lost since may have been lost right after.
-void AtMostOnce::NoteLosses(const routing::BucketTable& before, base::TimePoint unchanged_until,
-                            base::TimePoint now) {
+// The table was confirmed at `last_confirmed_at`: what was lost since may have been lost right
+// after.
+void AtMostOnce::RecordLosses(const routing::BucketTable& before, base::TimePoint last_confirmed_at,
+                              base::TimePoint now) {
   for (const routing::AgentEntry& agent : before.agents) {
     const routing::AgentEntry* const present = table_->FindAgent(agent.node);
-    const bool lost = present == nullptr || !SameLife(*present, agent);
+    const bool lost = present == nullptr || !SameIncarnation(*present, agent);
     if (!lost) {
       continue;
     }
     if (limits_.mechanisms.forget_after_second_loss) {
-      horizon_->NoteLoss(unchanged_until, now);
+      completeness_->NoteLoss(last_confirmed_at, now);
     }
-    ForgetHolder(agent.node);
+    ClearHolder(agent.node);
   }
 }
 
 // What the lost life of the node held is gone, also when a new life of it is there already.
-void AtMostOnce::ForgetHolder(base::NodeId lost) {
+void AtMostOnce::ClearHolder(base::NodeId lost) {
   records_.ForEach([&](ExecutionRecord& record) {
     if (record.second_holder == lost) {
       record.second_holder = base::NodeId();
@@ -89,7 +91,7 @@
   absl::erase_if(restorations_, [&](const auto& entry) { return entry.second.holder == lost; });
 }
 
-void AtMostOnce::StartSettlements(base::TimePoint now, AtMostOnceActions& actions) {
+void AtMostOnce::StartCollections(base::TimePoint now, AtMostOnceActions& actions) {
   std::vector<base::NodeId> others;
   for (const routing::AgentEntry& agent : table_->agents) {
     if (agent.node != self_ && limits_.mechanisms.collect_before_deciding) {
@@ -100,25 +102,25 @@
     const base::BucketIndex bucket(static_cast<std::uint16_t>(index));
     const routing::Bucket& entry = table_->buckets[index];
     if (entry.owner != self_) {
-      settlements_->Drop(bucket);
-    } else if (settlements_->Require(bucket, entry.version, others, now)) {
-      horizon_->TakeOver();
+      collections_->Drop(bucket);
+    } else if (collections_->Require(bucket, entry.version, others, now)) {
+      completeness_->AdoptReported();
     }
   }
-  if (settlements_->DropAgentsNotIn(others)) {
-    horizon_->TakeOver();
+  if (collections_->DropAgentsNotIn(others)) {
+    completeness_->AdoptReported();
   }
-  AskForCollections(now, actions);
+  SendCollectRequests(now, actions);
 }
 
-void AtMostOnce::AskForCollections(base::TimePoint now, AtMostOnceActions& actions) {
-  for (const CollectionQuestion& question : settlements_->TakeDue(now)) {
-    OutgoingMessage outgoing{question.destination, {}};
+void AtMostOnce::SendCollectRequests(base::TimePoint now, AtMostOnceActions& actions) {
+  for (const CollectionQuery& query : collections_->TakeDue(now)) {
+    OutgoingMessage outgoing{query.destination, {}};
     proto::CollectRequest* const request = outgoing.message.mutable_collect_request();
-    request->set_bucket(question.bucket.value());
-    EncodeVersion(question.version, request->mutable_version());
+    request->set_bucket(query.bucket.value());
+    EncodeVersion(query.version, request->mutable_version());
     EncodeVersion(table_->version, request->mutable_table_version());
-    EncodeKey(question.after, request->mutable_after());
+    EncodeKey(query.after, request->mutable_after());
     actions.send.push_back(std::move(outgoing));
   }
 }
@@ -127,10 +129,11 @@
   if (!limits_.mechanisms.restore_copies) {
     return;
   }
-  const std::vector<ExecutionRecord> single = records_.Select([&](const ExecutionRecord& record) {
-    return EntryOf(BucketOf(record.key)).owner == self_ && !HasSecondCopy(record);
-  });
-  for (const ExecutionRecord& record : single) {
+  const std::vector<ExecutionRecord> unreplicated =
+      records_.Select([&](const ExecutionRecord& record) {
+        return EntryOf(BucketOf(record.key)).owner == self_ && !HasSecondCopy(record);
+      });
+  for (const ExecutionRecord& record : unreplicated) {
     const std::optional<base::NodeId> holder = ChooseCopyHolder(record.key);
     if (holder) {
       Restoration& restoration = restorations_[record.key];
@@ -154,7 +157,7 @@
   actions.send.push_back(std::move(outgoing));
 }
 
-// --- Small questions ---
+// --- Small queries ---
 
 base::BucketIndex AtMostOnce::BucketOf(const KeyDigest& key) const {
   return table_->BucketOf(key.low);
@@ -166,14 +169,14 @@
 
 bool AtMostOnce::IsLive(base::NodeId node) const { return table_->FindAgent(node) != nullptr; }
 
-bool AtMostOnce::IsLiveLife(base::NodeId node, base::Incarnation incarnation) const {
+bool AtMostOnce::IsLiveIncarnation(base::NodeId node, base::Incarnation incarnation) const {
   const routing::AgentEntry* const agent = table_->FindAgent(node);
   return agent != nullptr && agent->incarnation == incarnation;
 }
 
 bool AtMostOnce::HasSecondCopy(const ExecutionRecord& record) const {
-  const bool executor_holds =
-      record.grant.executor != self_ && IsLiveLife(record.grant.executor, record.grant.incarnation);
+  const bool executor_holds = record.grant.executor != self_ &&
+                              IsLiveIncarnation(record.grant.executor, record.grant.incarnation);
   return executor_holds || (record.second_holder != base::NodeId() && IsLive(record.second_holder));
 }
 
@@ -189,14 +192,14 @@
 }
 
 bool AtMostOnce::IsRestoring() const {
-  return !settlements_->AllSettled() || !restorations_.empty();
+  return !collections_->AllSettled() || !restorations_.empty();
 }
 
 bool AtMostOnce::IsSettledOwner(base::BucketIndex bucket, base::TimePoint now) const {
   if (table_ == nullptr || !IsOwner(bucket, now)) {
     return false;
   }
-  return settlements_->IsSettled(bucket, EntryOf(bucket).version);
+  return collections_->IsSettled(bucket, EntryOf(bucket).version);
 }
 
 // Returns false when a newer version is known; otherwise notes that this one is.
@@ -220,7 +223,7 @@
     }
     created_at -= limits_.clock_margin;
   }
-  return horizon_->MayBeForgotten(created_at);
+  return completeness_->MayBeForgotten(created_at);
 }
 
 // The copy goes to the best of the others in rendezvous order of the key, which spreads them
--- a/libs/requests/src/at_most_once_copies.cpp
+++ b/libs/requests/src/at_most_once_copies.cpp
@@ -1,9 +1,9 @@
 // Copies of records, and the collection of records by a bucket's new owner.
 #include <algorithm>
 
-#include "bucket_settlements.h"
+#include "bucket_collections.h"
 #include "gaugevalve/requests/at_most_once.h"
-#include "memory_horizon.h"
+#include "history_completeness.h"
 #include "message_codec.h"
 
 namespace gaugevalve::requests {
@@ -36,7 +36,7 @@
 
 void AtMostOnce::OnCopyReply(base::NodeId sender, const proto::CopyReply& message,
                              AtMostOnceActions& actions) {
-  if (!IsLiveLife(sender, base::Incarnation(message.holder_incarnation()))) {
+  if (!IsLiveIncarnation(sender, base::Incarnation(message.holder_incarnation()))) {
     return;
   }
   const KeyDigest key = DecodeKey(message.record().key());
@@ -88,11 +88,11 @@
   for (const ExecutionRecord& record : records) {
     EncodeRecord(record, now, reply->add_records());
   }
-  if (const std::optional<base::TimePoint> whole_since = horizon_->WholeSince()) {
-    const std::int64_t whole_for =
-        std::chrono::duration_cast<std::chrono::milliseconds>(now - *whole_since).count();
+  if (const std::optional<base::TimePoint> complete_since = completeness_->CompleteSince()) {
+    const std::int64_t complete_for =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - *complete_since).count();
     reply->set_whole_for_milliseconds(
-        static_cast<std::uint64_t>(std::max<std::int64_t>(whole_for, 0)));
+        static_cast<std::uint64_t>(std::max<std::int64_t>(complete_for, 0)));
   }
   actions.send.push_back(std::move(outgoing));
 }
@@ -109,7 +109,7 @@
   for (const proto::Record& record : message.records()) {
     page.last_key = std::max(page.last_key, DecodeKey(record.key()));
   }
-  const CollectionProgress progress = settlements_->TakePage(page);
+  const CollectionProgress progress = collections_->AddPage(page);
   if (progress == CollectionProgress::kUnexpected) {
     return;
   }
@@ -119,12 +119,12 @@
     MergeRecord(record, now);
   }
   if (message.has_whole_for_milliseconds()) {
-    horizon_->Inherit(now - std::chrono::milliseconds(message.whole_for_milliseconds()));
+    completeness_->NoteReported(now - std::chrono::milliseconds(message.whole_for_milliseconds()));
   }
   if (progress == CollectionProgress::kSettled) {
-    horizon_->TakeOver();
+    completeness_->AdoptReported();
   }
-  AskForCollections(now, actions);
+  SendCollectRequests(now, actions);
 }
 
 // Takes in what another agent knows. Of two grants that may have run it can't always be told which
@@ -133,7 +133,7 @@
   ExecutionRecord* const known = records_.Find(record.key);
   if (known == nullptr) {
     if (!records_.Put(record)) {
-      horizon_->NoteDroppedRecord(now);
+      completeness_->NoteDroppedRecord(now);
     }
     return;
   }
@@ -144,11 +144,11 @@
     }
     return;
   }
-  const bool same_life = known->grant.executor == record.grant.executor &&
-                         known->grant.incarnation == record.grant.incarnation;
+  const bool same_incarnation = known->grant.executor == record.grant.executor &&
+                                known->grant.incarnation == record.grant.incarnation;
   const bool known_ran = known->state == ExecutionState::kAnswered;
-  const bool later = same_life && record.grant.number > known->grant.number;
-  const bool earlier = same_life && !later;
+  const bool later = same_incarnation && record.grant.number > known->grant.number;
+  const bool earlier = same_incarnation && !later;
   if (known_ran || earlier || record.state == ExecutionState::kNotRun) {
     return;
   }
--- a/libs/requests/src/at_most_once_executor.cpp
+++ b/libs/requests/src/at_most_once_executor.cpp
@@ -81,7 +81,7 @@
     Advance(pending_.at(id), now, actions);
   }
   if (table_ != nullptr) {
-    AskForCollections(now, actions);
+    SendCollectRequests(now, actions);
   }
   for (auto& [key, restoration] : restorations_) {
     if (now >= restoration.resend_at) {
@@ -136,7 +136,7 @@
   }
   const ExecutionRecord* const known = records_.Find(wanted.key);
   if (known != nullptr) {
-    RemindExecutor(*known, now, actions);
+    QueryExecutor(*known, now, actions);
   }
   End(pending.request.id, known != nullptr ? *known : wanted, verdict, actions);
 }
@@ -228,7 +228,7 @@
                      AtMostOnceActions& actions) {
   switch (verdict) {
     case proto::KNOWN:
-      EndWithKnown(id, known, actions);
+      EndWithKnownRecord(id, known, actions);
       return;
     case proto::FORGOTTEN:
       Refuse(id, RequestOutcome::kOutcomeUnknown, RefusalReason::kKeyForgotten, actions);
@@ -241,14 +241,14 @@
   }
 }
 
-void AtMostOnce::EndWithKnown(RequestId id, const ExecutionRecord& known,
-                              AtMostOnceActions& actions) {
+void AtMostOnce::EndWithKnownRecord(RequestId id, const ExecutionRecord& known,
+                                    AtMostOnceActions& actions) {
   if (known.state == ExecutionState::kAnswered) {
     actions.repeated.push_back({id, known.answer});
     Forget(id);
     return;
   }
-  const bool executor_lives = IsLiveLife(known.grant.executor, known.grant.incarnation);
+  const bool executor_lives = IsLiveIncarnation(known.grant.executor, known.grant.incarnation);
   RefusalReason reason = RefusalReason::kEndpointFailed;
   if (known.state == ExecutionState::kGranted) {
     reason = executor_lives ? RefusalReason::kKeyInProgress : RefusalReason::kExecutorLost;
--- a/libs/requests/src/at_most_once_owner.cpp
+++ b/libs/requests/src/at_most_once_owner.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The time in a key has 48 bits (RFC 9562); a larger number is malformed.
-constexpr std::uint64_t kLatestKeyMilliseconds = (std::uint64_t{1} << 48U) - 1;
+constexpr std::uint64_t kMaxKeyTimeMilliseconds = (std::uint64_t{1} << 48U) - 1;
 
 }  // namespace
 
@@ -52,7 +52,7 @@
   EncodeRecord(wanted, now, reply->mutable_asked());
   EncodeVersion(EntryOf(bucket).version, reply->mutable_version());
   Acknowledge(bucket, DecodeVersion(message.version()));
-  if (!IsOwner(bucket, now) || !IsLiveLife(sender, wanted.grant.incarnation)) {
+  if (!IsOwner(bucket, now) || !IsLiveIncarnation(sender, wanted.grant.incarnation)) {
     reply->set_verdict(proto::NOT_OWNER);
   } else if (!IsSettledOwner(bucket, now)) {
     reply->set_verdict(proto::UNSETTLED);
@@ -60,21 +60,21 @@
     std::optional<base::Duration> key_created_at;
     if (message.has_key_created_milliseconds()) {
       key_created_at = std::chrono::milliseconds(
-          std::min(message.key_created_milliseconds(), kLatestKeyMilliseconds));
+          std::min(message.key_created_milliseconds(), kMaxKeyTimeMilliseconds));
     }
     reply->set_verdict(Decide(wanted, key_created_at, now));
     if (reply->verdict() == proto::KNOWN) {
       const ExecutionRecord& known = *records_.Find(wanted.key);
       EncodeRecord(known, now, reply->mutable_known());
-      RemindExecutor(known, now, actions);
+      QueryExecutor(known, now, actions);
     }
   }
   actions.send.push_back(std::move(outgoing));
 }
 
 // Asks an executor that has not said how a grant ended; its answer is a Finished message.
-void AtMostOnce::RemindExecutor(const ExecutionRecord& record, base::TimePoint now,
-                                AtMostOnceActions& actions) {
+void AtMostOnce::QueryExecutor(const ExecutionRecord& record, base::TimePoint now,
+                               AtMostOnceActions& actions) {
   const bool unfinished = record.state == ExecutionState::kGranted;
   if (!unfinished || record.grant.executor == self_ || !IsLive(record.grant.executor)) {
     return;
--- a/libs/requests/src/bucket_settlements.h
+++ b/libs/requests/src/bucket_collections.h
@@ -12,8 +12,8 @@
 
 namespace gaugevalve::requests {
 
-// A question to one agent: its records of the bucket with keys after this one.
-struct CollectionQuestion {
+// A query to one agent: its records of the bucket with keys after this one.
+struct CollectionQuery {
   base::NodeId destination;
   base::BucketIndex bucket;
   routing::TableVersion version;
@@ -39,9 +39,9 @@
 };
 
 // Bounded by the buckets of a table times the agents of a service. Not thread-safe.
-class BucketSettlements {
+class BucketCollections {
  public:
-  explicit BucketSettlements(base::Duration resend_interval) : resend_interval_(resend_interval) {}
+  explicit BucketCollections(base::Duration resend_interval) : resend_interval_(resend_interval) {}
 
   // This agent owns the bucket at this version: all `others` must answer before it is settled. Does
   // nothing for the version that it was called with last. Returns whether it is settled at once.
@@ -49,7 +49,7 @@
                const std::vector<base::NodeId>& others, base::TimePoint now);
 
   // This agent doesn't own the bucket.
-  void Drop(base::BucketIndex bucket) { settlements_.erase(bucket); }
+  void Drop(base::BucketIndex bucket) { collections_.erase(bucket); }
 
   // Agents that are not among `others` any more don't answer: nothing is expected of them. Returns
   // whether that settled a bucket.
@@ -61,20 +61,20 @@
   bool AllSettled() const;
 
   // Takes a page; unless it is unexpected, the caller takes in its records before it decides.
-  CollectionProgress TakePage(const CollectionPage& page);
+  CollectionProgress AddPage(const CollectionPage& page);
 
-  // Returns the questions that are due, again where no answer came.
-  std::vector<CollectionQuestion> TakeDue(base::TimePoint now);
+  // Returns the queries that are due, again where no answer came.
+  std::vector<CollectionQuery> TakeDue(base::TimePoint now);
 
  private:
-  struct Settlement {
+  struct Collection {
     routing::TableVersion version;
     absl::flat_hash_map<base::NodeId, KeyDigest> cursors;  // of those yet to answer in full
-    base::TimePoint ask_at{};
+    base::TimePoint query_at{};
   };
 
   base::Duration resend_interval_;
-  absl::flat_hash_map<base::BucketIndex, Settlement> settlements_;
+  absl::flat_hash_map<base::BucketIndex, Collection> collections_;
 };
 
 }  // namespace gaugevalve::requests
--- a/libs/requests/src/frame_sender.cpp
+++ b/libs/requests/src/frame_sender.cpp
@@ -7,11 +7,11 @@
 namespace gaugevalve::requests {
 
 FrameSender::FrameSender(std::uint64_t credit, base::Duration resend_interval,
-                         base::Duration longest_interval)
+                         base::Duration max_interval)
     : initial_credit_(credit),
       credit_limit_(credit),
       resend_interval_(resend_interval),
-      longest_interval_(longest_interval),
+      max_interval_(max_interval),
       interval_(resend_interval) {}
 
 void FrameSender::Push(proto::HandOverFrame frame) {
@@ -53,7 +53,7 @@
     resend_at_ = now + interval_;
   } else if (now >= resend_at_) {
     begin = 0;
-    interval_ = std::min(interval_ * 2, longest_interval_);
+    interval_ = std::min(interval_ * 2, max_interval_);
     resend_at_ = now + interval_;
   }
   if (begin >= sendable) {
--- a/libs/requests/src/hand_over.cpp
+++ b/libs/requests/src/hand_over.cpp
@@ -15,8 +15,8 @@
       origin_(self, incarnation, limits, loads_, random),
       executor_(self, incarnation, limits) {}
 
-// An agent that left the table may still finish what it has: only its silence, or a newer life,
-// ends that. A draining agent is no longer listed, and is just the one that hands over.
+// An agent that left the table may still finish what it has: only its peer_timeout, or a newer
+// life, ends that. A draining agent is no longer listed, and is just the one that hands over.
 HandOverActions HandOver::SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                                    base::TimePoint now) {
   HandOverActions actions;
@@ -24,8 +24,8 @@
   loads_.SetTable(*table);
   for (const routing::AgentEntry& agent : table->agents) {
     if (agent.node != self_) {
-      origin_.OnNewLife(agent.node, agent.incarnation, now, actions);
-      executor_.OnNewLife(agent.node, agent.incarnation, actions);
+      origin_.OnNewIncarnation(agent.node, agent.incarnation, now, actions);
+      executor_.OnNewIncarnation(agent.node, agent.incarnation, actions);
     }
   }
   return actions;
@@ -40,7 +40,7 @@
   switch (message.body_case()) {
     case proto::HandOverMessage::kLoad:
       if (base::NodeId(message.load().node()) == sender) {
-        loads_.Learn(message.load(), now);
+        loads_.Update(message.load(), now);
       }
       break;
     case proto::HandOverMessage::kOffer:
@@ -59,10 +59,10 @@
   HandOverActions actions;
   origin_.OnTimer(now, actions);
   executor_.OnTimer(now, actions);
-  const bool has_turned = load.takes_requests != took_requests_;
-  if (table_ != nullptr && (now >= announce_at_ || has_turned)) {
+  const bool has_changed = load.takes_requests != announced_takes_requests_;
+  if (table_ != nullptr && (now >= announce_at_ || has_changed)) {
     announce_at_ = now + limits_.load_interval;
-    took_requests_ = load.takes_requests;
+    announced_takes_requests_ = load.takes_requests;
     Announce(load, actions);
   }
   return actions;
@@ -71,7 +71,7 @@
 void HandOver::Announce(const OwnLoad& load, HandOverActions& actions) {
   const std::vector<routing::AgentEntry>& agents = table_->agents;
   const std::size_t count = std::min(agents.size(), limits_.announced_peers + 1);
-  for (std::size_t told = 0; told < count; ++told) {
+  for (std::size_t sent = 0; sent < count; ++sent) {
     const base::NodeId node = agents[next_announced_ % agents.size()].node;
     ++next_announced_;
     if (node == self_) {
--- a/libs/requests/src/hand_over_codec.cpp
+++ b/libs/requests/src/hand_over_codec.cpp
@@ -34,7 +34,7 @@
 }
 
 template <class Fields>
-bool AreFields(const Fields& fields, std::size_t bytes) {
+bool AreValidFields(const Fields& fields, std::size_t bytes) {
   for (const proto::HandOverField& field : fields) {
     const bool is_name = IsToken(field.name()) && field.name().find(':') == std::string::npos;
     if (!is_name || !IsFieldValue(field.value())) {
@@ -45,18 +45,19 @@
   return fields.size() <= kMaxFields && bytes <= kMaxHeadBytes;
 }
 
-bool IsId(const proto::HandOverId& id) {
-  const bool names_two = id.origin() != 0 && id.executor() != 0 && id.origin() != id.executor();
-  return names_two && id.origin_incarnation() != 0 && id.executor_incarnation() != 0 &&
+bool IsValidId(const proto::HandOverId& id) {
+  const bool names_two_agents =
+      id.origin() != 0 && id.executor() != 0 && id.origin() != id.executor();
+  return names_two_agents && id.origin_incarnation() != 0 && id.executor_incarnation() != 0 &&
          id.number() != 0 && id.number() < kMaxSequence;
 }
 
-bool IsOffer(const proto::HandOverOffer& offer) {
+bool IsValidOffer(const proto::HandOverOffer& offer) {
   return offer.hops() == kHops && offer.time_left_microseconds() <= kMaxMicroseconds &&
          IsWellFormed(offer.head());
 }
 
-bool IsRefusal(const proto::HandOverRefusal& refusal) {
+bool IsValidRefusal(const proto::HandOverRefusal& refusal) {
   const bool is_outcome =
       refusal.outcome() == static_cast<std::uint32_t>(RequestOutcome::kNotRun) ||
       refusal.outcome() == static_cast<std::uint32_t>(RequestOutcome::kOutcomeUnknown);
@@ -64,16 +65,16 @@
          refusal.retry_after_microseconds() <= kMaxMicroseconds;
 }
 
-bool IsChunk(const proto::HandOverFrame& frame) {
+bool IsValidChunk(const proto::HandOverFrame& frame) {
   return !frame.bytes().empty() && frame.bytes().size() <= kMaxChunkBytes;
 }
 
-bool IsRequestFrame(const proto::HandOverFrame& frame) {
-  const bool is_body = frame.has_bytes() && IsChunk(frame);
+bool IsValidRequestFrame(const proto::HandOverFrame& frame) {
+  const bool is_body = frame.has_bytes() && IsValidChunk(frame);
   return frame.sequence() < kMaxSequence && (is_body || (frame.has_end() && frame.end()));
 }
 
-bool IsAnswerFrame(const proto::HandOverFrame& frame) {
+bool IsValidAnswerFrame(const proto::HandOverFrame& frame) {
   if (frame.sequence() >= kMaxSequence) {
     return false;
   }
@@ -81,11 +82,11 @@
     case proto::HandOverFrame::kHead:
       return IsWellFormed(frame.head());
     case proto::HandOverFrame::kBytes:
-      return IsChunk(frame);
+      return IsValidChunk(frame);
     case proto::HandOverFrame::kEnd:
       return frame.end();
     case proto::HandOverFrame::kRefusal:
-      return IsRefusal(frame.refusal());
+      return IsValidRefusal(frame.refusal());
     case proto::HandOverFrame::kCut:
       return frame.cut();
     case proto::HandOverFrame::BODY_NOT_SET:
@@ -94,7 +95,7 @@
   return false;
 }
 
-bool IsAcknowledgement(const proto::HandOverAcknowledgement& message) {
+bool IsValidAcknowledgement(const proto::HandOverAcknowledgement& message) {
   return message.next_sequence() < kMaxSequence &&
          message.credit_limit() >= message.next_sequence() &&
          message.credit_limit() - message.next_sequence() <= kWindowFrames;
@@ -115,20 +116,20 @@
   if (message.has_load()) {
     return !message.has_id() && message.load().node() != 0 && message.load().incarnation() != 0;
   }
-  if (!IsId(message.id())) {
+  if (!IsValidId(message.id())) {
     return false;
   }
   switch (message.body_case()) {
     case proto::HandOverMessage::kOffer:
-      return IsOffer(message.offer());
+      return IsValidOffer(message.offer());
     case proto::HandOverMessage::kRequestFrame:
-      return IsRequestFrame(message.request_frame());
+      return IsValidRequestFrame(message.request_frame());
     case proto::HandOverMessage::kRequestAcknowledgement:
-      return IsAcknowledgement(message.request_acknowledgement());
+      return IsValidAcknowledgement(message.request_acknowledgement());
     case proto::HandOverMessage::kAnswerFrame:
-      return IsAnswerFrame(message.answer_frame());
+      return IsValidAnswerFrame(message.answer_frame());
     case proto::HandOverMessage::kAnswerAcknowledgement:
-      return IsAcknowledgement(message.answer_acknowledgement());
+      return IsValidAcknowledgement(message.answer_acknowledgement());
     case proto::HandOverMessage::kClose:
       return message.close();
     case proto::HandOverMessage::kGone:
@@ -142,12 +143,12 @@
   const std::size_t line_bytes =
       head.method().size() + head.scheme().size() + head.authority().size() + head.path().size();
   return IsToken(head.method()) && IsToken(head.scheme()) && IsToken(head.authority()) &&
-         IsToken(head.path()) && AreFields(head.fields(), line_bytes);
+         IsToken(head.path()) && AreValidFields(head.fields(), line_bytes);
 }
 
 bool IsWellFormed(const proto::HandOverAnswerHead& head) {
   return head.status() >= kFirstFinalStatus && head.status() <= kLastStatus &&
-         AreFields(head.fields(), 0);
+         AreValidFields(head.fields(), 0);
 }
 
 void EncodeHandOverId(const HandOverId& id, proto::HandOverId* message) {
--- a/libs/requests/src/hand_over_executor.cpp
+++ b/libs/requests/src/hand_over_executor.cpp
@@ -7,8 +7,8 @@
 namespace gaugevalve::requests {
 namespace {
 
-constexpr Refusal kFull{RequestOutcome::kNotRun, RefusalReason::kQueueFull,
-                        base::Duration(1'000'000)};
+constexpr Refusal kTableFullRefusal{RequestOutcome::kNotRun, RefusalReason::kQueueFull,
+                                    base::Duration(1'000'000)};
 
 // Adds an empty message of this hand-over for the origin.
 proto::HandOverMessage* AddMessage(const HandOverId& id, HandOverActions& actions) {
@@ -37,7 +37,7 @@
     : self_(self),
       incarnation_(incarnation),
       limits_(limits),
-      memory_(limits.remembered_per_origin, limits.remembered_origins) {}
+      deduplicator_(limits.remembered_per_origin, limits.remembered_origins) {}
 
 // Without the check of lives, a hand-over is known by its origin and number alone.
 HandOverId HandOverExecutor::KeyOf(const HandOverId& id) const {
@@ -54,9 +54,9 @@
 void HandOverExecutor::OnMessage(base::NodeId sender, const proto::HandOverMessage& message,
                                  base::TimePoint now, HandOverActions& actions) {
   const HandOverId id = DecodeHandOverId(message.id());
-  const bool is_for_this_life =
+  const bool is_for_this_incarnation =
       id.executor_incarnation == incarnation_ || !limits_.mechanisms.check_incarnation;
-  if (id.executor != self_ || id.origin != sender || !is_for_this_life) {
+  if (id.executor != self_ || id.origin != sender || !is_for_this_incarnation) {
     return;
   }
   Run* const run = Find(id);
@@ -64,18 +64,18 @@
     OnUnknown(id, message, now, actions);
   } else {
     run->heard_at = now;
-    Take(id, *run, message, now, actions);
+    HandleMessage(id, *run, message, now, actions);
   }
 }
 
 void HandOverExecutor::OnUnknown(const HandOverId& id, const proto::HandOverMessage& message,
                                  base::TimePoint now, HandOverActions& actions) {
   if (message.has_close()) {
-    memory_.Remember(id, false);
+    deduplicator_.RecordEnded(id, false);
     return;
   }
   const OfferHistory history =
-      limits_.mechanisms.remember_ended ? memory_.Find(id) : OfferHistory::kNew;
+      limits_.mechanisms.remember_ended ? deduplicator_.Find(id) : OfferHistory::kNew;
   switch (history) {
     case OfferHistory::kNew:
       if (message.has_offer()) {
@@ -83,24 +83,24 @@
       }
       return;
     case OfferHistory::kRefused:
-      *AddMessage(id, actions)->mutable_answer_frame() = RefusalFrame(kFull);
+      *AddMessage(id, actions)->mutable_answer_frame() = RefusalFrame(kTableFullRefusal);
       return;
     case OfferHistory::kEnded:
       AddMessage(id, actions)->set_gone(true);
       return;
-    case OfferHistory::kOldLife:
+    case OfferHistory::kOldIncarnation:
       return;
   }
 }
 
 void HandOverExecutor::OnOffer(const HandOverId& id, const proto::HandOverOffer& offer,
                                base::TimePoint now, HandOverActions& actions) {
-  OnNewLife(id.origin, id.origin_incarnation, actions);
+  OnNewIncarnation(id.origin, id.origin_incarnation, actions);
   if (runs_.size() >= limits_.executor_capacity) {
     if (limits_.mechanisms.remember_refused) {
-      memory_.Remember(id, true);
+      deduplicator_.RecordEnded(id, true);
     }
-    *AddMessage(id, actions)->mutable_answer_frame() = RefusalFrame(kFull);
+    *AddMessage(id, actions)->mutable_answer_frame() = RefusalFrame(kTableFullRefusal);
     return;
   }
   const base::Duration time_left(static_cast<std::int64_t>(offer.time_left_microseconds()));
@@ -113,8 +113,9 @@
   actions.executor.push_back({KeyOf(id), RunOffered{offer.head(), time_left}});
 }
 
-void HandOverExecutor::Take(const HandOverId& id, Run& run, const proto::HandOverMessage& message,
-                            base::TimePoint now, HandOverActions& actions) {
+void HandOverExecutor::HandleMessage(const HandOverId& id, Run& run,
+                                     const proto::HandOverMessage& message, base::TimePoint now,
+                                     HandOverActions& actions) {
   if (message.has_close()) {
     Forget(KeyOf(id), actions);
   } else if (message.has_offer()) {
@@ -123,7 +124,7 @@
     }
   } else if (message.has_request_frame()) {
     if (run.body.Accept(message.request_frame().sequence())) {
-      TakeBody(KeyOf(id), run, message.request_frame(), actions);
+      HandleBodyFrame(KeyOf(id), run, message.request_frame(), actions);
     }
     SendAcknowledgement(id, run, actions);
   } else if (message.has_answer_acknowledgement()) {
@@ -136,8 +137,9 @@
   }
 }
 
-void HandOverExecutor::TakeBody(const HandOverId& id, Run& run, const proto::HandOverFrame& frame,
-                                HandOverActions& actions) const {
+void HandOverExecutor::HandleBodyFrame(const HandOverId& id, Run& run,
+                                       const proto::HandOverFrame& frame,
+                                       HandOverActions& actions) const {
   if (run.has_ended) {
     return;  // the endpoint answered early: the rest of the body is for nobody
   }
@@ -189,9 +191,9 @@
     return;
   }
   if (!IsWellFormed(head)) {
-    constexpr Refusal kUnfit{RequestOutcome::kOutcomeUnknown, RefusalReason::kEndpointFailed,
-                             base::Duration(0)};
-    Finish(run, *found, RefusalFrame(kUnfit), now, actions);
+    constexpr Refusal kMalformedHeadRefusal{RequestOutcome::kOutcomeUnknown,
+                                            RefusalReason::kEndpointFailed, base::Duration(0)};
+    Finish(run, *found, RefusalFrame(kMalformedHeadRefusal), now, actions);
     actions.executor.push_back({run, RunCancelled{}});
     return;
   }
@@ -256,12 +258,12 @@
   if (!found->second.has_ended) {
     actions.executor.push_back({id, RunCancelled{}});
   }
-  memory_.Remember(id, found->second.was_refused);
+  deduplicator_.RecordEnded(id, found->second.was_refused);
   runs_.erase(found);
 }
 
-void HandOverExecutor::OnNewLife(base::NodeId node, base::Incarnation incarnation,
-                                 HandOverActions& actions) {
+void HandOverExecutor::OnNewIncarnation(base::NodeId node, base::Incarnation incarnation,
+                                        HandOverActions& actions) {
   std::vector<HandOverId> over;
   for (const auto& [id, run] : runs_) {
     if (id.origin == node && id.origin_incarnation < incarnation &&
@@ -272,21 +274,21 @@
   for (const HandOverId& id : over) {
     Forget(id, actions);
   }
-  memory_.NoteLife(node, incarnation);
+  deduplicator_.NoteIncarnation(node, incarnation);
 }
 
 void HandOverExecutor::OnTimer(base::TimePoint now, HandOverActions& actions) {
   std::vector<HandOverId> over;
   for (auto& [id, run] : runs_) {
-    if (now - run.heard_at >= limits_.silence) {
+    if (now - run.heard_at >= limits_.peer_timeout) {
       over.push_back(id);
       continue;
     }
     if (!run.has_answer_begun && !run.has_ended && now >= run.deadline) {
-      constexpr Refusal kLate{RequestOutcome::kOutcomeUnknown, RefusalReason::kDeadlineAfterStart,
-                              base::Duration(0)};
+      constexpr Refusal kDeadlineRefusal{RequestOutcome::kOutcomeUnknown,
+                                         RefusalReason::kDeadlineAfterStart, base::Duration(0)};
       actions.executor.push_back({id, RunCancelled{}});
-      Finish(id, run, RefusalFrame(kLate), now, actions);
+      Finish(id, run, RefusalFrame(kDeadlineRefusal), now, actions);
     }
     SendAnswer(id, run, now, actions);
     if (now >= run.heartbeat_at && run.is_accepted) {
--- a/libs/requests/src/hand_over_origin.cpp
+++ b/libs/requests/src/hand_over_origin.cpp
@@ -43,8 +43,8 @@
                            HandOverActions& actions) {
   const bool is_full =
       exchanges_.size() >= limits_.origin_capacity && limits_.mechanisms.bound_in_flight;
-  const bool was_moved = request.was_handed_over && limits_.mechanisms.bound_hops;
-  if (is_full || was_moved || now >= request.deadline || !IsWellFormed(request.head)) {
+  const bool exceeds_hop_limit = request.was_handed_over && limits_.mechanisms.bound_hops;
+  if (is_full || exceeds_hop_limit || now >= request.deadline || !IsWellFormed(request.head)) {
     return false;
   }
   Exchange exchange{.request = request,
@@ -75,7 +75,7 @@
   exchange.heard_at = now;
   exchange.heartbeat_at = now + limits_.heartbeat_interval;
   by_number_[exchange.id.number] = exchange.request.id;
-  loads_.Began(peer->node);
+  loads_.OnHandOverBegun(peer->node);
   SendOffer(exchange, now, actions);
   return true;
 }
@@ -154,7 +154,7 @@
   }
   Exchange* const exchange = Find(sender, id);
   if (exchange == nullptr) {
-    // It ended here, or belonged to a former life: the executor must not go on for it.
+    // It ended here, or belonged to a previous incarnation: the executor must not go on for it.
     if (!message.has_gone() && sender == id.executor) {
       SendClose(id, actions);
     }
@@ -162,7 +162,7 @@
   }
   exchange->heard_at = now;
   if (message.has_gone()) {
-    OnLost(*exchange, now, actions);
+    OnExecutorLost(*exchange, now, actions);
   } else if (message.has_answer_frame()) {
     exchange->is_accepted = true;
     OnAnswerFrame(*exchange, message.answer_frame(), now, actions);
@@ -182,7 +182,7 @@
   const RequestId request = exchange.request.id;
   const std::uint64_t number = exchange.id.number;
   if (exchange.answer.Accept(frame.sequence())) {
-    TakeFrame(exchange, frame, now, actions);
+    HandleAnswerFrame(exchange, frame, now, actions);
   }
   const auto found = exchanges_.find(request);
   if (found != exchanges_.end() && found->second.id.number == number) {
@@ -190,8 +190,8 @@
   }
 }
 
-void HandOverOrigin::TakeFrame(Exchange& exchange, const proto::HandOverFrame& frame,
-                               base::TimePoint now, HandOverActions& actions) {
+void HandOverOrigin::HandleAnswerFrame(Exchange& exchange, const proto::HandOverFrame& frame,
+                                       base::TimePoint now, HandOverActions& actions) {
   const RequestId id = exchange.request.id;
   const bool is_first = !exchange.has_answer_begun;
   if (frame.has_refusal() && is_first) {
@@ -206,7 +206,7 @@
     End(id, actions);
   } else {
     // Cut, or frames in an order that makes no answer.
-    OnLost(exchange, now, actions);
+    OnExecutorLost(exchange, now, actions);
   }
 }
 
@@ -215,7 +215,7 @@
                                HandOverActions& actions) {
   const bool was_not_run = refusal.outcome == RequestOutcome::kNotRun;
   if (was_not_run) {
-    loads_.Refused(exchange.id.executor);
+    loads_.OnRefused(exchange.id.executor);
   }
   if (was_not_run && OfferElsewhere(exchange, now, actions)) {
     return;
@@ -228,7 +228,8 @@
 }
 
 // The executor is gone, or can't tell: the request may have run.
-void HandOverOrigin::OnLost(Exchange& exchange, base::TimePoint now, HandOverActions& actions) {
+void HandOverOrigin::OnExecutorLost(Exchange& exchange, base::TimePoint now,
+                                    HandOverActions& actions) {
   const RequestId id = exchange.request.id;
   if (exchange.has_answer_begun) {
     actions.origin.push_back({id, AnswerCut{}});
@@ -250,21 +251,21 @@
 
 bool HandOverOrigin::MayRepeat(const Exchange& exchange, base::TimePoint now) {
   const bool is_safe = exchange.request.is_safe || !limits_.mechanisms.repeat_only_safe;
-  return is_safe && now < exchange.request.deadline && exchange.body.IsUntouched() &&
+  return is_safe && now < exchange.request.deadline && exchange.body.HasNothingAcknowledged() &&
          exchange.tried.size() < limits_.max_offers && retry_budget_.TakeRetry();
 }
 
 bool HandOverOrigin::OfferElsewhere(Exchange& exchange, base::TimePoint now,
                                     HandOverActions& actions) {
-  const bool may_ask = exchange.tried.size() < limits_.max_offers && exchange.body.IsUntouched() &&
-                       now < exchange.request.deadline;
-  const HandOverId former = exchange.id;
+  const bool may_ask = exchange.tried.size() < limits_.max_offers &&
+                       exchange.body.HasNothingAcknowledged() && now < exchange.request.deadline;
+  const HandOverId previous_id = exchange.id;
   if (!may_ask || !OfferTo(exchange, now, actions)) {
     return false;
   }
-  by_number_.erase(former.number);
-  loads_.Ended(former.executor);
-  SendClose(former, actions);
+  by_number_.erase(previous_id.number);
+  loads_.OnHandOverEnded(previous_id.executor);
+  SendClose(previous_id, actions);
   return true;
 }
 
@@ -280,12 +281,12 @@
   }
   SendClose(found->second.id, actions);
   by_number_.erase(found->second.id.number);
-  loads_.Ended(found->second.id.executor);
+  loads_.OnHandOverEnded(found->second.id.executor);
   exchanges_.erase(found);
 }
 
-void HandOverOrigin::OnNewLife(base::NodeId node, base::Incarnation incarnation,
-                               base::TimePoint now, HandOverActions& actions) {
+void HandOverOrigin::OnNewIncarnation(base::NodeId node, base::Incarnation incarnation,
+                                      base::TimePoint now, HandOverActions& actions) {
   std::vector<RequestId> lost;
   for (const auto& [id, exchange] : exchanges_) {
     if (exchange.id.executor == node && exchange.id.executor_incarnation < incarnation) {
@@ -293,7 +294,7 @@
     }
   }
   for (const RequestId id : lost) {
-    OnLost(exchanges_.at(id), now, actions);
+    OnExecutorLost(exchanges_.at(id), now, actions);
   }
 }
 
@@ -305,7 +306,7 @@
       overdue.push_back(id);
       continue;
     }
-    if (now - exchange.heard_at >= limits_.silence) {
+    if (now - exchange.heard_at >= limits_.peer_timeout) {
       silent.push_back(id);
       continue;
     }
@@ -324,7 +325,7 @@
            actions);
   }
   for (const RequestId id : silent) {
-    OnLost(exchanges_.at(id), now, actions);
+    OnExecutorLost(exchanges_.at(id), now, actions);
   }
 }
 
--- a/libs/requests/src/message_codec.cpp
+++ b/libs/requests/src/message_codec.cpp
@@ -71,7 +71,7 @@
 
 ExecutionRecord DecodeRecord(const proto::Record& message, base::TimePoint now) {
   // An age that no process can have lived is cut off, so that times don't overflow.
-  constexpr std::uint64_t kOldestMilliseconds = 1'000'000'000'000;
+  constexpr std::uint64_t kMaxAgeMilliseconds = 1'000'000'000'000;
   ExecutionRecord record;
   record.key = DecodeKey(message.key());
   record.fingerprint = message.fingerprint();
@@ -82,7 +82,7 @@
   record.answer.status = static_cast<int>(message.answer().status());
   record.answer.content_type = message.answer().content_type();
   record.answer.body = message.answer().body().substr(0, kMaxStoredBodyBytes);
-  const std::uint64_t age = std::min(message.age_milliseconds(), kOldestMilliseconds);
+  const std::uint64_t age = std::min(message.age_milliseconds(), kMaxAgeMilliseconds);
   record.first_recorded_at = now - std::chrono::milliseconds(age);
   return record;
 }
--- a/libs/requests/src/peer_loads.cpp
+++ b/libs/requests/src/peer_loads.cpp
@@ -5,14 +5,14 @@
 namespace gaugevalve::requests {
 
 std::optional<HandOverNeed> NeedOf(const LocalSituation& situation, const HandOverLimits& limits) {
-  const bool was_moved = situation.was_handed_over && limits.mechanisms.bound_hops;
-  if (was_moved || situation.is_stream) {
+  const bool exceeds_hop_limit = situation.was_handed_over && limits.mechanisms.bound_hops;
+  if (exceeds_hop_limit || situation.is_stream) {
     return std::nullopt;
   }
   if (situation.is_draining || situation.is_endpoint_down) {
     return HandOverNeed::kCannotRunHere;
   }
-  if (situation.estimated_wait > limits.longest_wait) {
+  if (situation.estimated_wait > limits.max_local_wait) {
     return HandOverNeed::kShorterWait;
   }
   return std::nullopt;
@@ -31,7 +31,7 @@
   }
 }
 
-void PeerLoads::Learn(const proto::HandOverLoad& load, base::TimePoint now) {
+void PeerLoads::Update(const proto::HandOverLoad& load, base::TimePoint now) {
   const auto found = peers_.find(base::NodeId(load.node()));
   if (found == peers_.end()) {
     return;
@@ -47,7 +47,7 @@
 
 bool PeerLoads::HasRoom(base::NodeId node, const Peer& peer, HandOverNeed need,
                         base::TimePoint now) const {
-  const bool is_known = peer.was_heard && now - peer.heard_at < limits_.load_freshness &&
+  const bool is_known = peer.was_heard && now - peer.heard_at < limits_.max_load_age &&
                         peer.announced_incarnation == peer.listed_incarnation;
   const bool is_within_bound =
       InFlight(node) < limits_.in_flight_per_peer || !limits_.mechanisms.bound_in_flight;
@@ -55,7 +55,7 @@
     return false;
   }
   if (need == HandOverNeed::kShorterWait) {
-    return peer.free_slots >= limits_.clearly_more_slots;
+    return peer.free_slots >= limits_.min_free_slots_for_shorter_wait;
   }
   return peer.free_slots + peer.queue_room > 0;
 }
@@ -84,7 +84,7 @@
   return ChosenPeer{chosen, peers_.at(chosen).listed_incarnation};
 }
 
-void PeerLoads::Began(base::NodeId node) {
+void PeerLoads::OnHandOverBegun(base::NodeId node) {
   ++in_flight_[node];
   const auto found = peers_.find(node);
   if (found == peers_.end()) {
@@ -94,14 +94,14 @@
   (peer.free_slots > 0 ? peer.free_slots : peer.queue_room) -= 1;
 }
 
-void PeerLoads::Ended(base::NodeId node) {
+void PeerLoads::OnHandOverEnded(base::NodeId node) {
   const auto found = in_flight_.find(node);
   if (found != in_flight_.end() && --found->second == 0) {
     in_flight_.erase(found);
   }
 }
 
-void PeerLoads::Refused(base::NodeId node) {
+void PeerLoads::OnRefused(base::NodeId node) {
   const auto found = peers_.find(node);
   if (found != peers_.end()) {
     found->second.free_slots = 0;
--- a/libs/requests/src/request_headers.cpp
+++ b/libs/requests/src/request_headers.cpp
@@ -69,9 +69,9 @@
 
 std::string FormatTimeout(base::Duration time) {
   constexpr std::int64_t kMicrosecondsPerMillisecond = 1'000;
-  constexpr std::int64_t kMostMilliseconds = 99'999'999;
+  constexpr std::int64_t kMaxMilliseconds = 99'999'999;
   const std::int64_t milliseconds = time.count() / kMicrosecondsPerMillisecond;
-  return std::to_string(std::min(std::max<std::int64_t>(milliseconds, 0), kMostMilliseconds)) + "m";
+  return std::to_string(std::min(std::max<std::int64_t>(milliseconds, 0), kMaxMilliseconds)) + "m";
 }
 
 std::uint8_t ParseUrgency(std::string_view value) {
--- a/libs/requests/src/request_pipeline.cpp
+++ b/libs/requests/src/request_pipeline.cpp
@@ -64,7 +64,7 @@
   keyed.fingerprint = arrived.key->fingerprint;
   keyed.key_created_at = arrived.key->created_at;
   keyed.deadline = request.admission.deadline;
-  Take(at_most_once_.Begin(keyed, now), now, actions);
+  Apply(at_most_once_.Begin(keyed, now), now, actions);
   return actions;
 }
 
@@ -83,32 +83,33 @@
 
 void RequestPipeline::Admit(Request& request, base::TimePoint now, PipelineActions& actions) {
   request.stage = Stage::kWaiting;
-  Take(admission_.Submit(request.admission, now), now, actions);
+  Apply(admission_.Submit(request.admission, now), now, actions);
 }
 
-void RequestPipeline::Take(const AdmissionActions& admitted, base::TimePoint now,
-                           PipelineActions& actions) {
+void RequestPipeline::Apply(const AdmissionActions& admitted, base::TimePoint now,
+                            PipelineActions& actions) {
   for (const RequestId id : admitted.start) {
     requests_.at(id).stage = Stage::kRunning;
     actions.start.push_back(id);
   }
   for (const RefusedRequest& refused : admitted.refused) {
-    RefuseHere(refused, now, actions);
+    OnAdmissionRefusal(refused, now, actions);
   }
 }
 
 // A request that admission refused has not reached the endpoint: its key may be used again.
-void RequestPipeline::RefuseHere(const RefusedRequest& refused, base::TimePoint now,
-                                 PipelineActions& actions) {
+void RequestPipeline::OnAdmissionRefusal(const RefusedRequest& refused, base::TimePoint now,
+                                         PipelineActions& actions) {
   const bool is_keyed = requests_.at(refused.id).is_keyed;
   requests_.erase(refused.id);
   actions.refused.push_back(refused);
   if (is_keyed) {
-    EndKeyed(refused.id, ExecutionState::kNotRun, {}, now, actions);
+    FinishKeyed(refused.id, ExecutionState::kNotRun, {}, now, actions);
   }
 }
 
-void RequestPipeline::Take(AtMostOnceActions keyed, base::TimePoint now, PipelineActions& actions) {
+void RequestPipeline::Apply(AtMostOnceActions keyed, base::TimePoint now,
+                            PipelineActions& actions) {
   Append(actions.send, std::move(keyed.send));
   for (const RefusedRequest& refused : keyed.refused) {
     requests_.erase(refused.id);
@@ -139,7 +140,7 @@
   const Request request = found->second;
   found->second.stage = Stage::kStreaming;
   admission_.AddStream(id);
-  LeaveSlot(request, false, now, actions);
+  ReleaseSlot(request, false, now, actions);
   return actions;
 }
 
@@ -160,36 +161,36 @@
     actions.refused.push_back({id, RefusalOf(end)});
   }
   if (request.is_keyed) {
-    EndKeyed(id, StateOf(end), answer, now, actions);
+    FinishKeyed(id, StateOf(end), answer, now, actions);
   }
-  LeaveSlot(request, end == EndpointEnd::kAnswered, now, actions);
+  ReleaseSlot(request, end == EndpointEnd::kAnswered, now, actions);
   return actions;
 }
 
-// Nothing was sent, so any request may be tried again, within the budget and its deadline.
+// Nothing was sent, so any request may be retried, within the budget and its deadline.
 bool RequestPipeline::Retry(Request& request, base::TimePoint now, PipelineActions& actions) {
   if (request.stage != Stage::kRunning || request.is_retried || !retry_budget_.TakeRetry()) {
     return false;
   }
   request.is_retried = true;
-  const Request again = request;
-  LeaveSlot(again, false, now, actions);
-  Admit(requests_.at(again.admission.id), now, actions);
+  const Request retried = request;
+  ReleaseSlot(retried, false, now, actions);
+  Admit(requests_.at(retried.admission.id), now, actions);
   return true;
 }
 
-void RequestPipeline::LeaveSlot(const Request& request, bool counts_as_sample, base::TimePoint now,
-                                PipelineActions& actions) {
+void RequestPipeline::ReleaseSlot(const Request& request, bool counts_as_sample,
+                                  base::TimePoint now, PipelineActions& actions) {
   if (request.stage == Stage::kStreaming) {
     admission_.CloseStream(request.admission.id);
   } else {
-    Take(admission_.Finish(request.admission.id, counts_as_sample, now), now, actions);
+    Apply(admission_.Finish(request.admission.id, counts_as_sample, now), now, actions);
   }
 }
 
-void RequestPipeline::EndKeyed(RequestId id, ExecutionState state, const StoredAnswer& answer,
-                               base::TimePoint now, PipelineActions& actions) {
-  Take(at_most_once_.Finish(id, state, answer, now), now, actions);
+void RequestPipeline::FinishKeyed(RequestId id, ExecutionState state, const StoredAnswer& answer,
+                                  base::TimePoint now, PipelineActions& actions) {
+  Apply(at_most_once_.Finish(id, state, answer, now), now, actions);
 }
 
 PipelineActions RequestPipeline::Cancel(RequestId id, base::TimePoint now) {
@@ -202,22 +203,22 @@
   requests_.erase(found);
   switch (request.stage) {
     case Stage::kAwaitingPermit:
-      Take(at_most_once_.Abandon(id, now), now, actions);
+      Apply(at_most_once_.Abandon(id, now), now, actions);
       break;
     case Stage::kWaiting:
       admission_.CancelWaiting(id);
       if (request.is_keyed) {
-        EndKeyed(id, ExecutionState::kNotRun, {}, now, actions);
+        FinishKeyed(id, ExecutionState::kNotRun, {}, now, actions);
       }
       break;
     case Stage::kRunning:
       if (request.is_keyed) {
-        EndKeyed(id, ExecutionState::kUnknown, {}, now, actions);
+        FinishKeyed(id, ExecutionState::kUnknown, {}, now, actions);
       }
-      LeaveSlot(request, false, now, actions);
+      ReleaseSlot(request, false, now, actions);
       break;
     case Stage::kStreaming:
-      LeaveSlot(request, false, now, actions);
+      ReleaseSlot(request, false, now, actions);
       break;
   }
   return actions;
@@ -226,7 +227,7 @@
 PipelineActions RequestPipeline::SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                                           base::TimePoint confirmed_at, base::TimePoint now) {
   PipelineActions actions;
-  Take(at_most_once_.SetTable(table, confirmed_at, now), now, actions);
+  Apply(at_most_once_.SetTable(table, confirmed_at, now), now, actions);
   return actions;
 }
 
@@ -234,7 +235,7 @@
                                            base::Duration default_timeout, base::TimePoint now) {
   PipelineActions actions;
   default_timeout_ = default_timeout;
-  Take(admission_.SetLimits(limits, now), now, actions);
+  Apply(admission_.SetLimits(limits, now), now, actions);
   return actions;
 }
 
@@ -242,21 +243,21 @@
                                            const proto::AtMostOnceMessage& message,
                                            base::TimePoint now) {
   PipelineActions actions;
-  Take(at_most_once_.OnMessage(sender, message, now), now, actions);
+  Apply(at_most_once_.OnMessage(sender, message, now), now, actions);
   return actions;
 }
 
 PipelineActions RequestPipeline::OnTimer(base::TimePoint now) {
   PipelineActions actions;
-  GiveUpOverdue(now, actions);
-  Take(admission_.OnTimer(now), now, actions);
-  Take(at_most_once_.OnTimer(now), now, actions);
+  AbortOverdue(now, actions);
+  Apply(admission_.OnTimer(now), now, actions);
+  Apply(at_most_once_.OnTimer(now), now, actions);
   return actions;
 }
 
 // A started request whose deadline passes before its answer begins is given up at once: its caller
 // is told that the outcome isn't known, and the exchange is broken off.
-void RequestPipeline::GiveUpOverdue(base::TimePoint now, PipelineActions& actions) {
+void RequestPipeline::AbortOverdue(base::TimePoint now, PipelineActions& actions) {
   std::vector<RequestId> overdue;
   for (const auto& [id, request] : requests_) {
     const bool is_late = request.stage == Stage::kRunning && !request.has_answer_begun &&
@@ -273,9 +274,9 @@
         {id,
          {RequestOutcome::kOutcomeUnknown, RefusalReason::kDeadlineAfterStart, base::Duration(0)}});
     if (request.is_keyed) {
-      EndKeyed(id, ExecutionState::kUnknown, {}, now, actions);
+      FinishKeyed(id, ExecutionState::kUnknown, {}, now, actions);
     }
-    LeaveSlot(request, false, now, actions);
+    ReleaseSlot(request, false, now, actions);
   }
 }
 
--- a/libs/requests/tests/hand_over_test.cpp
+++ b/libs/requests/tests/hand_over_test.cpp
@@ -13,12 +13,12 @@
 
 constexpr base::NodeId kOrigin(1);
 constexpr base::NodeId kExecutor(2);
-constexpr base::Incarnation kLife(7);
+constexpr base::Incarnation kIncarnation(7);
 constexpr RequestId kRequest(1);
 
-std::shared_ptr<const routing::BucketTable> TableOf(base::Incarnation executor_life) {
+std::shared_ptr<const routing::BucketTable> TableOf(base::Incarnation listed_incarnation) {
   auto table = std::make_shared<routing::BucketTable>();
-  table->agents = {{kOrigin, kLife, {}, ""}, {kExecutor, executor_life, {}, ""}};
+  table->agents = {{kOrigin, kIncarnation, {}, ""}, {kExecutor, listed_incarnation, {}, ""}};
   return table;
 }
 
@@ -87,10 +87,10 @@
     at_origin_.clear();
     at_executor_.clear();
     offers_.clear();
-    origin_ = std::make_unique<HandOver>(kOrigin, kLife, HandOverLimits(), random_);
-    executor_ = std::make_unique<HandOver>(kExecutor, kLife, HandOverLimits(), random_);
-    Perform(kOrigin, origin_->SetTable(TableOf(kLife), now_));
-    Perform(kExecutor, executor_->SetTable(TableOf(kLife), now_));
+    origin_ = std::make_unique<HandOver>(kOrigin, kIncarnation, HandOverLimits(), random_);
+    executor_ = std::make_unique<HandOver>(kExecutor, kIncarnation, HandOverLimits(), random_);
+    Perform(kOrigin, origin_->SetTable(TableOf(kIncarnation), now_));
+    Perform(kExecutor, executor_->SetTable(TableOf(kIncarnation), now_));
     Perform(kExecutor, executor_->OnTimer({1, 0, true}, now_));
   }
 
@@ -128,7 +128,7 @@
     Perform(kExecutor, executor_->OnTimer({1, 0, false}, now_));
     CPPUNIT_ASSERT(!origin_->Origin().Offer(second, HandOverNeed::kCannotRunHere, now_, actions));
     Perform(kExecutor, executor_->OnTimer({1, 0, true}, now_));
-    now_ += HandOverLimits().load_freshness;
+    now_ += HandOverLimits().max_load_age;
     second.deadline = now_ + seconds(10);
     CPPUNIT_ASSERT(!origin_->Origin().Offer(second, HandOverNeed::kCannotRunHere, now_, actions));
     CPPUNIT_ASSERT(actions.send.empty());
@@ -155,7 +155,7 @@
 
   void ASilentPeerLeavesTheOutcomeUnknown() {
     CPPUNIT_ASSERT(Offer());
-    now_ += HandOverLimits().silence;
+    now_ += HandOverLimits().peer_timeout;
     const HandOverActions actions = origin_->OnTimer({}, now_);
     Perform(kOrigin, actions);
     CPPUNIT_ASSERT_EQUAL(RequestOutcome::kOutcomeUnknown, RefusalAtOrigin().outcome);
@@ -185,15 +185,16 @@
   void TheBetterOfTwoPeersIsChosen() {
     PeerLoads loads(kOrigin, HandOverLimits());
     routing::BucketTable table;
-    table.agents = {{base::NodeId(2), kLife, {}, ""}, {base::NodeId(3), kLife, {}, ""}};
+    table.agents = {{base::NodeId(2), kIncarnation, {}, ""},
+                    {base::NodeId(3), kIncarnation, {}, ""}};
     loads.SetTable(table);
     for (const std::uint64_t node : {2, 3}) {
       proto::HandOverLoad load;
       load.set_node(node);
-      load.set_incarnation(kLife.value());
+      load.set_incarnation(kIncarnation.value());
       load.set_free_slots(node == 2 ? 9 : 3);
       load.set_takes_requests(true);
-      loads.Learn(load, now_);
+      loads.Update(load, now_);
     }
     int chosen_busier = 0;
     constexpr int kChoices = 400;
@@ -209,7 +210,7 @@
     const HandOverLimits limits;
     LocalSituation situation;
     CPPUNIT_ASSERT(!NeedOf(situation, limits));
-    situation.estimated_wait = limits.longest_wait + milliseconds(1);
+    situation.estimated_wait = limits.max_local_wait + milliseconds(1);
     CPPUNIT_ASSERT(NeedOf(situation, limits) == HandOverNeed::kShorterWait);
     situation.is_draining = true;
     CPPUNIT_ASSERT(NeedOf(situation, limits) == HandOverNeed::kCannotRunHere);
--- a/proofs/at_most_once/at_most_once_proof.cpp
+++ b/proofs/at_most_once/at_most_once_proof.cpp
@@ -31,16 +31,16 @@
   kFinishRun,
   kAbandonRequest,
   kLoseMessage,
-  kDoubleMessage,
+  kDuplicateMessage,
   kMoveBucket,
   kKill,
   kRestart,
   kFreeze,
-  kWake,
+  kThaw,
   kRemoveFromTable,
-  kPassLongTime,
-  kPassShortTime,
-  kGiveTable,
+  kAdvanceTimeByLongStep,
+  kAdvanceTimeByShortStep,
+  kDeliverTable,
   kDeliverAll,
   kDeliverMessage,
 };
@@ -56,16 +56,16 @@
                                                      {EventKind::kFinishRun, 1},
                                                      {EventKind::kAbandonRequest, 1},
                                                      {EventKind::kLoseMessage, 1},
-                                                     {EventKind::kDoubleMessage, 1},
+                                                     {EventKind::kDuplicateMessage, 1},
                                                      {EventKind::kMoveBucket, 1},
                                                      {EventKind::kKill, 1},
                                                      {EventKind::kRestart, 1},
                                                      {EventKind::kFreeze, 1},
-                                                     {EventKind::kWake, 1},
+                                                     {EventKind::kThaw, 1},
                                                      {EventKind::kRemoveFromTable, 1},
-                                                     {EventKind::kPassLongTime, 1},
-                                                     {EventKind::kPassShortTime, 2},
-                                                     {EventKind::kGiveTable, 3},
+                                                     {EventKind::kAdvanceTimeByLongStep, 1},
+                                                     {EventKind::kAdvanceTimeByShortStep, 2},
+                                                     {EventKind::kDeliverTable, 3},
                                                      {EventKind::kDeliverAll, 2},
                                                      {EventKind::kDeliverMessage, 3}}};
 
@@ -105,8 +105,8 @@
   }
 
   void Apply(Cluster& cluster) const {
-    constexpr std::uint32_t kShortStep = 40;
-    constexpr std::uint32_t kLongStep = 700;
+    constexpr std::uint32_t kShortStepMs = 40;
+    constexpr std::uint32_t kLongStepMs = 700;
     switch (KindOf(number)) {
       case EventKind::kNewRequest:
         return cluster.Request(first, second, true);
@@ -118,8 +118,8 @@
         return cluster.AbandonRequest(first);
       case EventKind::kLoseMessage:
         return cluster.LoseMessage(first);
-      case EventKind::kDoubleMessage:
-        return cluster.DoubleMessage(first);
+      case EventKind::kDuplicateMessage:
+        return cluster.DuplicateMessage(first);
       case EventKind::kMoveBucket:
         return cluster.MoveBucket(first, second);
       case EventKind::kKill:
@@ -128,16 +128,16 @@
         return cluster.Restart(first);
       case EventKind::kFreeze:
         return cluster.Freeze(first);
-      case EventKind::kWake:
-        return cluster.Wake(first);
+      case EventKind::kThaw:
+        return cluster.Thaw(first);
       case EventKind::kRemoveFromTable:
         return cluster.RemoveFromTable(first);
-      case EventKind::kPassLongTime:
-        return cluster.PassTime(first * kLongStep);
-      case EventKind::kPassShortTime:
-        return cluster.PassTime(first * kShortStep);
-      case EventKind::kGiveTable:
-        return cluster.GiveTable(first);
+      case EventKind::kAdvanceTimeByLongStep:
+        return cluster.AdvanceTime(first * kLongStepMs);
+      case EventKind::kAdvanceTimeByShortStep:
+        return cluster.AdvanceTime(first * kShortStepMs);
+      case EventKind::kDeliverTable:
+        return cluster.DeliverTable(first);
       case EventKind::kDeliverAll:
         return cluster.DeliverAll();
       case EventKind::kDeliverMessage:
@@ -161,15 +161,15 @@
 }
 
 testing::Coverage CoverageOf(const ClusterCounts& totals) {
-  constexpr std::size_t kEnough = 1000;
+  constexpr std::size_t kMinCount = 1000;
   std::ostringstream counts;
   counts << "requests " << totals.requests << ", repeats " << totals.repeats << ", runs "
          << totals.runs << ", agents killed " << totals.kills;
-  return {totals.repeats > kEnough && totals.runs > kEnough && totals.kills > kEnough,
+  return {totals.repeats > kMinCount && totals.runs > kMinCount && totals.kills > kMinCount,
           counts.str()};
 }
 
-testing::RegisteredProof MustHold(std::string name) {
+testing::RegisteredProof HoldsWithAllMechanisms(std::string name) {
   const auto totals = std::make_shared<ClusterCounts>();
   return {std::move(name),
           testing::ProofKind::kHolds,
@@ -178,7 +178,7 @@
 }
 
 // Registers the property without one mechanism.
-testing::RegisteredProof IsCaughtWithout(std::string name, bool AtMostOnceMechanisms::*mechanism) {
+testing::RegisteredProof MutantWithout(std::string name, bool AtMostOnceMechanisms::*mechanism) {
   return {std::move(name), testing::ProofKind::kMutantIsCaught, [mechanism] {
             AtMostOnceMechanisms mechanisms;
             mechanisms.*mechanism = false;
@@ -187,18 +187,19 @@
           }};
 }
 
-const testing::RegisteredProof runs_at_most_once = MustHold("keyed_request_runs_at_most_once");
+const testing::RegisteredProof runs_at_most_once =
+    HoldsWithAllMechanisms("keyed_request_runs_at_most_once");
 
 const testing::RegisteredProof without_copy =
-    IsCaughtWithout("without_copy_before_running", &AtMostOnceMechanisms::copy_before_running);
-const testing::RegisteredProof without_collection = IsCaughtWithout(
+    MutantWithout("without_copy_before_running", &AtMostOnceMechanisms::copy_before_running);
+const testing::RegisteredProof without_collection = MutantWithout(
     "without_collect_before_deciding", &AtMostOnceMechanisms::collect_before_deciding);
-const testing::RegisteredProof without_table = IsCaughtWithout(
-    "without_answer_only_with_table", &AtMostOnceMechanisms::answer_only_with_table);
-const testing::RegisteredProof without_forgetting = IsCaughtWithout(
+const testing::RegisteredProof without_table =
+    MutantWithout("without_answer_only_with_table", &AtMostOnceMechanisms::answer_only_with_table);
+const testing::RegisteredProof without_forgetting = MutantWithout(
     "without_forget_after_second_loss", &AtMostOnceMechanisms::forget_after_second_loss);
 const testing::RegisteredProof without_restoring =
-    IsCaughtWithout("without_restore_copies", &AtMostOnceMechanisms::restore_copies);
+    MutantWithout("without_restore_copies", &AtMostOnceMechanisms::restore_copies);
 
 }  // namespace
 }  // namespace gaugevalve::proofs
--- a/proofs/at_most_once/cluster.cpp
+++ b/proofs/at_most_once/cluster.cpp
@@ -19,7 +19,7 @@
 Cluster::Cluster(const requests::AtMostOnceMechanisms& mechanisms) : now_(seconds(10'000)) {
   limits_.mechanisms = mechanisms;
   for (std::uint64_t node = 1; node <= kAgents; ++node) {
-    StartLife(base::NodeId(node));
+    StartIncarnation(base::NodeId(node));
   }
   auto table = std::make_shared<routing::BucketTable>();
   for (const auto& [node, agent] : agents_) {
@@ -42,7 +42,7 @@
   Quiesce();
 }
 
-void Cluster::StartLife(base::NodeId node) {
+void Cluster::StartIncarnation(base::NodeId node) {
   // Clocks are apart by less than the margin that is allowed for.
   const base::Duration clock_error =
       milliseconds(300) * (next_incarnation_ % 3) - milliseconds(300);
@@ -68,12 +68,12 @@
   return agent == nullptr || agent->frozen ? nullptr : agent;
 }
 
-void Cluster::Request(std::uint32_t agent, std::uint32_t key, bool fresh) {
+void Cluster::Request(std::uint32_t agent, std::uint32_t key, bool is_new_key) {
   Agent* const receiver = ActiveAgent(NodeAt(agent));
   if (receiver == nullptr) {
     return;
   }
-  if (fresh || keys_.empty()) {
+  if (is_new_key || keys_.empty()) {
     const std::uint64_t number = keys_.size();
     keys_.push_back({{number + 1, number}, now_, 0});
     key = static_cast<std::uint32_t>(number);
@@ -90,10 +90,10 @@
   request.deadline = now_ + seconds(20);
   key_of_request_[request.id] = key;
   agent_of_request_[request.id] = NodeAt(agent);
-  Take(NodeAt(agent), receiver->core->Begin(request, now_));
+  Apply(NodeAt(agent), receiver->core->Begin(request, now_));
 }
 
-void Cluster::FinishRun(std::uint32_t run, std::uint32_t how) {
+void Cluster::FinishRun(std::uint32_t run, std::uint32_t outcome) {
   if (runs_.empty()) {
     return;
   }
@@ -105,13 +105,13 @@
   }
   runs_.erase(runs_.begin() + static_cast<std::ptrdiff_t>(index));
   requests::ExecutionState state = requests::ExecutionState::kAnswered;
-  if (how % kRunEnds == 1) {
+  if (outcome % kRunEnds == 1) {
     state = requests::ExecutionState::kUnknown;
-  } else if (how % kRunEnds == 2) {
+  } else if (outcome % kRunEnds == 2) {
     state = requests::ExecutionState::kNotRun;  // the endpoint refused it: it may run again
     --keys_[ended.key].executions;
   }
-  Take(ended.agent, agent->core->Finish(ended.id, state, {201, "", ""}, now_));
+  Apply(ended.agent, agent->core->Finish(ended.id, state, {201, "", ""}, now_));
 }
 
 void Cluster::AbandonRequest(std::uint32_t request) {
@@ -119,11 +119,11 @@
   const auto found = agent_of_request_.find(id);
   Agent* const agent = found == agent_of_request_.end() ? nullptr : ActiveAgent(found->second);
   if (agent != nullptr) {
-    Take(found->second, agent->core->Abandon(id, now_));
+    Apply(found->second, agent->core->Abandon(id, now_));
   }
 }
 
-void Cluster::Take(base::NodeId node, requests::AtMostOnceActions actions) {
+void Cluster::Apply(base::NodeId node, requests::AtMostOnceActions actions) {
   for (requests::OutgoingMessage& outgoing : actions.send) {
     messages_.push_back({node, std::move(outgoing)});
   }
@@ -145,8 +145,8 @@
   }
   messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(index));
   if (receiver != nullptr) {
-    Take(message.outgoing.destination,
-         receiver->core->OnMessage(message.sender, message.outgoing.message, now_));
+    Apply(message.outgoing.destination,
+          receiver->core->OnMessage(message.sender, message.outgoing.message, now_));
   }
 }
 
@@ -158,9 +158,9 @@
 
 void Cluster::DeliverAll() {
   // What the deliveries themselves send is delivered too, up to a bound.
-  constexpr int kMostDeliveries = 2'000;
+  constexpr int kMaxDeliveries = 2'000;
   std::size_t index = 0;
-  for (int delivery = 0; delivery < kMostDeliveries && index < messages_.size(); ++delivery) {
+  for (int delivery = 0; delivery < kMaxDeliveries && index < messages_.size(); ++delivery) {
     const std::size_t before = messages_.size();
     DeliverAt(index);
     index += messages_.size() >= before &&
@@ -177,10 +177,10 @@
   }
 }
 
-void Cluster::DoubleMessage(std::uint32_t message) {
+void Cluster::DuplicateMessage(std::uint32_t message) {
   if (!messages_.empty()) {
-    const Message twin = messages_[message % messages_.size()];
-    messages_.push_back(twin);
+    const Message duplicate = messages_[message % messages_.size()];
+    messages_.push_back(duplicate);
   }
 }
 
@@ -197,14 +197,14 @@
   table_ = table;
 }
 
-void Cluster::GiveTable(std::uint32_t agent) {
+void Cluster::DeliverTable(std::uint32_t agent) {
   const base::NodeId node = NodeAt(agent);
   Agent* const receiver = ActiveAgent(node);
   const routing::AgentEntry* const entry = table_->FindAgent(node);
   const bool listed =
       receiver != nullptr && entry != nullptr && entry->incarnation == receiver->incarnation;
   if (listed) {
-    Take(node, receiver->core->SetTable(table_, now_, now_));
+    Apply(node, receiver->core->SetTable(table_, now_, now_));
   }
 }
 
@@ -223,7 +223,7 @@
   if (LiveAgent(node) != nullptr && table_->FindAgent(node) != nullptr) {
     return;
   }
-  StartLife(node);
+  StartIncarnation(node);
   auto table = std::make_shared<routing::BucketTable>(*table_);
   ++sequence_;
   table->version = {1, 0, sequence_};
@@ -245,7 +245,7 @@
   }
 }
 
-void Cluster::Wake(std::uint32_t agent) {
+void Cluster::Thaw(std::uint32_t agent) {
   if (Agent* const target = LiveAgent(NodeAt(agent))) {
     target->frozen = false;
   }
@@ -262,18 +262,18 @@
 // Lets messages through until all copies are restored: what the stated limits assume happens within
 // restore_time of a loss. Frozen agents that are listed are woken for it.
 void Cluster::Quiesce() {
-  constexpr int kMostRounds = 50;
-  for (int round = 0; round < kMostRounds; ++round) {
+  constexpr int kMaxRounds = 50;
+  for (int round = 0; round < kMaxRounds; ++round) {
     for (std::uint32_t number = 0; number < kAgents; ++number) {
       if (table_->FindAgent(NodeAt(number)) != nullptr) {
-        Wake(number);
+        Thaw(number);
       }
-      GiveTable(number);
+      DeliverTable(number);
     }
     DeliverAll();
     for (auto& [node, agent] : agents_) {
       if (!agent.frozen) {
-        Take(node, agent.core->OnTimer(now_));
+        Apply(node, agent.core->OnTimer(now_));
       }
     }
     DeliverAll();
@@ -308,11 +308,11 @@
   table_ = table;
 }
 
-void Cluster::PassTime(std::uint32_t milliseconds_passed) {
-  now_ += milliseconds(milliseconds_passed);
+void Cluster::AdvanceTime(std::uint32_t step_ms) {
+  now_ += milliseconds(step_ms);
   for (auto& [node, agent] : agents_) {
     if (!agent.frozen) {
-      Take(node, agent.core->OnTimer(now_));
+      Apply(node, agent.core->OnTimer(now_));
     }
   }
 }
--- a/proofs/at_most_once/cluster.h
+++ b/proofs/at_most_once/cluster.h
@@ -25,19 +25,19 @@
  public:
   explicit Cluster(const requests::AtMostOnceMechanisms& mechanisms);
 
-  // A caller sends a request with one of a few keys to an agent; `fresh` begins a new key.
-  void Request(std::uint32_t agent, std::uint32_t key, bool fresh);
-  void FinishRun(std::uint32_t run, std::uint32_t how);
+  // A caller sends a request with one of a few keys to an agent; `is_new_key` begins a new key.
+  void Request(std::uint32_t agent, std::uint32_t key, bool is_new_key);
+  void FinishRun(std::uint32_t run, std::uint32_t outcome);
   void AbandonRequest(std::uint32_t request);
 
   void DeliverMessage(std::uint32_t message);
   void DeliverAll();
   void LoseMessage(std::uint32_t message);
-  void DoubleMessage(std::uint32_t message);
+  void DuplicateMessage(std::uint32_t message);
 
-  // The planner gives a bucket to another agent; tables reach agents only by GiveTable().
+  // The planner gives a bucket to another agent; tables reach agents only by DeliverTable().
   void MoveBucket(std::uint32_t bucket, std::uint32_t agent);
-  void GiveTable(std::uint32_t agent);
+  void DeliverTable(std::uint32_t agent);
 
   // The process dies and its memory with it; it may start again as a new life.
   void Kill(std::uint32_t agent);
@@ -45,12 +45,12 @@
 
   // The process stands still, or goes on, without noticing.
   void Freeze(std::uint32_t agent);
-  void Wake(std::uint32_t agent);
+  void Thaw(std::uint32_t agent);
 
   // The planner takes an agent that it can't reach out of the table, rightly or not.
   void RemoveFromTable(std::uint32_t agent);
 
-  void PassTime(std::uint32_t milliseconds);
+  void AdvanceTime(std::uint32_t milliseconds);
 
   // Returns whether a key ran more than once.
   bool RanTwice() const { return ran_twice_; }
@@ -86,8 +86,8 @@
   base::NodeId NodeAt(std::uint32_t number) const;
   Agent* LiveAgent(base::NodeId node);
   Agent* ActiveAgent(base::NodeId node);
-  void StartLife(base::NodeId node);
-  void Take(base::NodeId node, requests::AtMostOnceActions actions);
+  void StartIncarnation(base::NodeId node);
+  void Apply(base::NodeId node, requests::AtMostOnceActions actions);
   void DeliverAt(std::size_t index);
   void Quiesce();
   bool IsSettled() const;
--- a/proofs/flow_ownership/src/flow_ownership_proof.cpp
+++ b/proofs/flow_ownership/src/flow_ownership_proof.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <string>
 
-#include "flow_world.h"
+#include "flow_simulation.h"
 
 namespace gaugevalve::proofs {
 namespace {
@@ -20,14 +20,14 @@
 constexpr std::uint64_t kSeed = 20261202;
 constexpr int kSequences = 20'000;
 constexpr int kMutantSequences = 20'000;  // at most: the first broken rule ends the search
-constexpr int kLongestSequence = 160;
-constexpr int kNumbers = 64;
+constexpr int kMaxSequenceLength = 160;
+constexpr int kNumberRange = 64;
 
 // Returns the number in an environment variable, for longer searches and other seeds, or the one
 // that CI goes by.
-std::uint64_t NumberFrom(const char* variable, std::uint64_t usual) {
+std::uint64_t NumberFromEnvironment(const char* variable, std::uint64_t default_value) {
   const char* const text = std::getenv(variable);
-  return text == nullptr ? usual : std::stoull(text);
+  return text == nullptr ? default_value : std::stoull(text);
 }
 
 enum class StepKind : std::uint8_t {
@@ -47,9 +47,9 @@
   kThaw,
   kCrash,
   kRestart,
-  kRecycle,
+  kReassignToOtherService,
   kAdvanceTime,
-  kSettle,
+  kSettleAndCheck,
 };
 
 std::ostream& operator<<(std::ostream& stream, StepKind kind) {
@@ -60,13 +60,13 @@
   return stream << kNames.at(static_cast<std::size_t>(kind));
 }
 
-// The oracle is in the world; any step may follow any other.
+// The oracle is in the simulation; any step may follow any other.
 struct Model {};
 
-using WorldCommand = rc::state::Command<Model, FlowWorld>;
+using SimulationCommand = rc::state::Command<Model, FlowSimulation>;
 
 // One step of the adversary, of any kind.
-class Step final : public WorldCommand {
+class Step final : public SimulationCommand {
  public:
   Step()
       : kind_(*rc::gen::weightedElement<StepKind>({{14, StepKind::kSend},
@@ -85,18 +85,18 @@
                                                    {3, StepKind::kThaw},
                                                    {1, StepKind::kCrash},
                                                    {2, StepKind::kRestart},
-                                                   {1, StepKind::kRecycle},
+                                                   {1, StepKind::kReassignToOtherService},
                                                    {4, StepKind::kAdvanceTime},
-                                                   {1, StepKind::kSettle}})),
-        agent_(*rc::gen::inRange<std::size_t>(0, FlowWorld::kAgents)),
-        other_(*rc::gen::inRange<std::size_t>(0, FlowWorld::kBalancers)),
-        number_(*rc::gen::inRange<std::size_t>(0, kNumbers)),
+                                                   {1, StepKind::kSettleAndCheck}})),
+        agent_(*rc::gen::inRange<std::size_t>(0, FlowSimulation::kAgents)),
+        other_(*rc::gen::inRange<std::size_t>(0, FlowSimulation::kBalancers)),
+        number_(*rc::gen::inRange<std::size_t>(0, kNumberRange)),
         age_(*rc::gen::weightedElement<std::size_t>({{8, 0}, {2, 1}, {1, 2}, {1, 5}})) {}
 
-  void run(const Model& /*model*/, FlowWorld& world) const override {  // NOLINT: its name
-    Do(world);
-    if (world.Violation()) {
-      RC_FAIL(*world.Violation());
+  void run(const Model& /*model*/, FlowSimulation& simulation) const override {  // NOLINT: its name
+    Apply(simulation);
+    if (simulation.Violation()) {
+      RC_FAIL(*simulation.Violation());
     }
   }
 
@@ -106,53 +106,53 @@
   }
 
  private:
-  void Do(FlowWorld& world) const {
+  void Apply(FlowSimulation& simulation) const {
     switch (kind_) {
       case StepKind::kSend:
-        return world.Send(agent_, other_);
+        return simulation.Send(agent_, other_);
       case StepKind::kDeliver:
-        return world.Deliver(number_);
+        return simulation.Deliver(number_);
       case StepKind::kDeliverLatest:
-        return world.DeliverLatest();
+        return simulation.DeliverLatest();
       case StepKind::kDuplicate:
-        return world.Duplicate(number_);
+        return simulation.Duplicate(number_);
       case StepKind::kLose:
-        return world.Lose(number_);
+        return simulation.Lose(number_);
       case StepKind::kMove:
-        return world.Move(other_, agent_);
+        return simulation.Move(other_, agent_);
       case StepKind::kDeclareDead:
-        return world.DeclareDead(agent_);
+        return simulation.DeclareDead(agent_);
       case StepKind::kList:
-        return world.List(agent_);
+        return simulation.List(agent_);
       case StepKind::kSendTable:
-        return world.SendTable(agent_, age_);
+        return simulation.SendTable(agent_, age_);
       case StepKind::kSetBalancerTable:
-        return world.SetBalancerTable(other_, age_);
+        return simulation.SetBalancerTable(other_, age_);
       case StepKind::kSendReport:
-        return world.SendReport(agent_);
+        return simulation.SendReport(agent_);
       default:
-        return DoToMachine(world);
+        return ApplyToMachine(simulation);
     }
   }
 
-  void DoToMachine(FlowWorld& world) const {
+  void ApplyToMachine(FlowSimulation& simulation) const {
     switch (kind_) {
       case StepKind::kDrain:
-        return world.Drain(agent_);
+        return simulation.Drain(agent_);
       case StepKind::kFreeze:
-        return world.Freeze(agent_);
+        return simulation.Freeze(agent_);
       case StepKind::kThaw:
-        return world.Thaw(agent_);
+        return simulation.Thaw(agent_);
       case StepKind::kCrash:
-        return world.Crash(agent_);
+        return simulation.Crash(agent_);
       case StepKind::kRestart:
-        return world.Restart(agent_);
-      case StepKind::kRecycle:
-        return world.Recycle(agent_);
+        return simulation.Restart(agent_);
+      case StepKind::kReassignToOtherService:
+        return simulation.ReassignToOtherService(agent_);
       case StepKind::kAdvanceTime:
-        return world.AdvanceTime(std::chrono::milliseconds(100 * (number_ + 1)));
+        return simulation.AdvanceTime(std::chrono::milliseconds(100 * (number_ + 1)));
       default:
-        return world.Settle();
+        return simulation.SettleAndCheck();
     }
   }
 
@@ -164,50 +164,51 @@
 };
 
 // Runs random sequences; returns what RapidCheck found.
-rc::detail::TestResult Search(Mutant mutant, int sequences, bool shrink, WorldCounts& counts) {
+rc::detail::TestResult Search(Mutant mutant, int sequences, bool shrink, SimulationCounts& counts) {
   rc::detail::TestParams params;
-  params.seed = NumberFrom("FLOW_OWNERSHIP_SEED", kSeed);
+  params.seed = NumberFromEnvironment("FLOW_OWNERSHIP_SEED", kSeed);
   params.maxSuccess = sequences;
-  params.maxSize = kLongestSequence;
+  params.maxSize = kMaxSequenceLength;
   params.disableShrinking = !shrink;
   const auto property = [&] {
-    FlowWorld world(mutant);
-    rc::state::check(Model(), world,
+    FlowSimulation simulation(mutant);
+    rc::state::check(Model(), simulation,
                      [](const Model&) { return rc::state::gen::execOneOfWithArgs<Step>()(); });
-    world.Settle();
-    if (world.Violation()) {
-      RC_FAIL(*world.Violation());
+    simulation.SettleAndCheck();
+    if (simulation.Violation()) {
+      RC_FAIL(*simulation.Violation());
     }
-    counts.Add(world.Counts());
+    counts.Add(simulation.Counts());
   };
   return rc::detail::checkTestable(property, rc::detail::TestMetadata(), params);
 }
 
 class FlowOwnershipProof : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FlowOwnershipProof);
-  CPPUNIT_TEST(OneAgentServesAFlowWhateverHappens);
-  CPPUNIT_TEST(SkippingTheChainWalkIsNoticed);
-  CPPUNIT_TEST(ForgettingCarriedEntriesIsNoticed);
-  CPPUNIT_TEST(IgnoringOtherClaimsIsNoticed);
-  CPPUNIT_TEST(TrustingHeldFlowsIsNoticed);
-  CPPUNIT_TEST(IgnoringFreshnessIsNoticed);
-  CPPUNIT_TEST(IgnoringPausesIsNoticed);
-  CPPUNIT_TEST(IgnoringIncarnationsIsNoticed);
-  CPPUNIT_TEST(AcceptingForeignDatagramsIsNoticed);
-  CPPUNIT_TEST(DeclaringDeadAtOnceIsNoticed);
-  CPPUNIT_TEST(TrustingOldReportsIsNoticed);
+  CPPUNIT_TEST(OnlyOneAgentServesAFlow);
+  CPPUNIT_TEST(SkippingTheChainWalkIsDetected);
+  CPPUNIT_TEST(ForgettingCarriedEntriesIsDetected);
+  CPPUNIT_TEST(IgnoringOtherClaimsIsDetected);
+  CPPUNIT_TEST(TrustingHeldFlowsIsDetected);
+  CPPUNIT_TEST(IgnoringFreshnessIsDetected);
+  CPPUNIT_TEST(IgnoringPausesIsDetected);
+  CPPUNIT_TEST(IgnoringIncarnationsIsDetected);
+  CPPUNIT_TEST(AcceptingForeignDatagramsIsDetected);
+  CPPUNIT_TEST(DeclaringDeadAtOnceIsDetected);
+  CPPUNIT_TEST(TrustingOldReportsIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void OneAgentServesAFlowWhateverHappens() {
-    WorldCounts counts;
-    const int sequences = static_cast<int>(NumberFrom("FLOW_OWNERSHIP_SEQUENCES", kSequences));
+  void OnlyOneAgentServesAFlow() {
+    SimulationCounts counts;
+    const int sequences =
+        static_cast<int>(NumberFromEnvironment("FLOW_OWNERSHIP_SEQUENCES", kSequences));
     const rc::detail::TestResult result = Search(Mutant::kNone, sequences, true, counts);
     std::ostringstream text;
     rc::detail::printResultMessage(result, text);
     CPPUNIT_ASSERT_MESSAGE(text.str(), result.is<rc::detail::SuccessResult>());
     Print(sequences, counts);
-    CPPUNIT_ASSERT(counts.opened > 0 && counts.served_on_walk > 0 && counts.put_back > 0);
+    CPPUNIT_ASSERT(counts.opened > 0 && counts.served_on_walk > 0 && counts.recovered > 0);
     for (const flow::DropReason reason :
          {flow::DropReason::kForeignService, flow::DropReason::kStaleTable,
           flow::DropReason::kNotListed, flow::DropReason::kDraining}) {
@@ -215,42 +216,43 @@
     }
   }
 
-  void SkippingTheChainWalkIsNoticed() {
-    AssertNoticed(Mutant::kSkipsChainWalk, "opened the flow of agent");
+  void SkippingTheChainWalkIsDetected() {
+    AssertDetected(Mutant::kSkipsChainWalk, "opened the flow of agent");
   }
-  void ForgettingCarriedEntriesIsNoticed() {
-    AssertNoticed(Mutant::kForgetsCarriedEntry, "opened the flow of agent");
+  void ForgettingCarriedEntriesIsDetected() {
+    AssertDetected(Mutant::kForgetsCarriedEntry, "opened the flow of agent");
   }
-  void IgnoringOtherClaimsIsNoticed() {
-    AssertNoticed(Mutant::kIgnoresOtherClaims, "served the flow of agent");
+  void IgnoringOtherClaimsIsDetected() {
+    AssertDetected(Mutant::kIgnoresOtherClaims, "served the flow of agent");
   }
-  void TrustingHeldFlowsIsNoticed() {
-    AssertNoticed(Mutant::kTrustsHeldFlows, "the flow of agent");
+  void TrustingHeldFlowsIsDetected() {
+    AssertDetected(Mutant::kTrustsHeldFlows, "the flow of agent");
   }
-  void IgnoringFreshnessIsNoticed() { AssertNoticed(Mutant::kIgnoresFreshness, "out of date"); }
-  void IgnoringPausesIsNoticed() { AssertNoticed(Mutant::kIgnoresPause, "opened a flow"); }
+  void IgnoringFreshnessIsDetected() { AssertDetected(Mutant::kIgnoresFreshness, "out of date"); }
+  void IgnoringPausesIsDetected() { AssertDetected(Mutant::kIgnoresPause, "opened a flow"); }
 
   // Too rare for the random search, so the steps are given: an agent acknowledges that it lost a
   // bucket, reports that it holds nothing there, and restarts. Its new life hears of an old table.
-  void IgnoringIncarnationsIsNoticed() {
+  void IgnoringIncarnationsIsDetected() {
     CPPUNIT_ASSERT(!RestartWithOldTable(Mutant::kNone));
     CPPUNIT_ASSERT_EQUAL(std::string("agent 1 opened the flow of agent 0"),
                          RestartWithOldTable(Mutant::kIgnoresIncarnation).value_or("nothing"));
   }
 
-  void AcceptingForeignDatagramsIsNoticed() {
-    AssertNoticed(Mutant::kAcceptsForeign, "of another service");
+  void AcceptingForeignDatagramsIsDetected() {
+    AssertDetected(Mutant::kAcceptsForeign, "of another service");
   }
-  void DeclaringDeadAtOnceIsNoticed() {
-    AssertNoticed(Mutant::kDeclaresDeadAtOnce, "was taken for dead, hasn't heard of it and opened");
+  void DeclaringDeadAtOnceIsDetected() {
+    AssertDetected(Mutant::kDeclaresDeadAtOnce,
+                   "was taken for dead, hasn't heard of it and opened");
   }
-  void TrustingOldReportsIsNoticed() {
-    AssertNoticed(Mutant::kTrustsOldReports, "opened the flow of agent");
+  void TrustingOldReportsIsDetected() {
+    AssertDetected(Mutant::kTrustsOldReports, "opened the flow of agent");
   }
 
  private:
-  static void AssertNoticed(Mutant mutant, const std::string& rule) {
-    WorldCounts counts;
+  static void AssertDetected(Mutant mutant, const std::string& rule) {
+    SimulationCounts counts;
     const rc::detail::TestResult result = Search(mutant, kMutantSequences, false, counts);
     const bool is_failure = result.is<rc::detail::FailureResult>();
     CPPUNIT_ASSERT_MESSAGE("no sequence broke a rule", is_failure);
@@ -264,32 +266,32 @@
 
   static std::optional<std::string> RestartWithOldTable(Mutant mutant) {
     constexpr std::size_t kFlow = 0;
-    FlowWorld world(mutant);
-    world.Move(FlowWorld::BucketOf(kFlow), 1);
-    world.SendTable(0, 0);
-    world.DeliverLatest();
-    world.SendReport(0);
-    world.Crash(0);
-    world.Restart(0);
-    world.SendTable(0, 1);
-    world.DeliverLatest();
-    world.SetBalancerTable(0, 1);
-    world.Send(kFlow, 0);
-    world.DeliverLatest();
-    world.Deliver(0);  // the report of the former life
-    world.SendTable(1, 0);
-    world.DeliverLatest();
-    world.SetBalancerTable(0, 0);
-    world.Send(kFlow, 0);
-    world.DeliverLatest();
-    return world.Violation();
+    FlowSimulation simulation(mutant);
+    simulation.Move(FlowSimulation::BucketOf(kFlow), 1);
+    simulation.SendTable(0, 0);
+    simulation.DeliverLatest();
+    simulation.SendReport(0);
+    simulation.Crash(0);
+    simulation.Restart(0);
+    simulation.SendTable(0, 1);
+    simulation.DeliverLatest();
+    simulation.SetBalancerTable(0, 1);
+    simulation.Send(kFlow, 0);
+    simulation.DeliverLatest();
+    simulation.Deliver(0);  // the report of the former life
+    simulation.SendTable(1, 0);
+    simulation.DeliverLatest();
+    simulation.SetBalancerTable(0, 0);
+    simulation.Send(kFlow, 0);
+    simulation.DeliverLatest();
+    return simulation.Violation();
   }
 
-  static void Print(int sequences, const WorldCounts& counts) {
-    std::cout << "\nseed " << NumberFrom("FLOW_OWNERSHIP_SEED", kSeed) << ", " << sequences
-              << " sequences: " << counts.opened << " flows opened, " << counts.served
-              << " datagrams served (" << counts.served_on_walk << " on a walk, " << counts.put_back
-              << " put back), " << counts.passed_on << " passed on\n";
+  static void Print(int sequences, const SimulationCounts& counts) {
+    std::cout << "\nseed " << NumberFromEnvironment("FLOW_OWNERSHIP_SEED", kSeed) << ", "
+              << sequences << " sequences: " << counts.opened << " flows opened, " << counts.served
+              << " datagrams served (" << counts.served_on_walk << " on a walk, "
+              << counts.recovered << " put back), " << counts.passed_on << " passed on\n";
     for (std::size_t reason = 0; reason < counts.dropped.size(); ++reason) {
       std::cout << "  dropped, " << ToString(static_cast<flow::DropReason>(reason)) << ": "
                 << counts.dropped.at(reason) << "\n";
--- a/proofs/flow_ownership/src/flow_world.cpp
+++ b/proofs/flow_ownership/src/flow_simulation.cpp
@@ -1,4 +1,4 @@
-#include "flow_world.h"
+#include "flow_simulation.h"
 
 #include <algorithm>
 #include <iterator>
@@ -10,10 +10,10 @@
 
 constexpr base::ServiceId kService(7);
 constexpr base::ServiceId kOtherService(8);
-constexpr std::size_t kMostMessages = 64;  // the network loses the oldest beyond that
+constexpr std::size_t kMaxMessages = 64;  // the network loses the oldest beyond that
 constexpr base::Duration kFreshnessLimit = flow::OwnershipSettings().freshness_limit;
 // The shortest silence after which membership may declare a death.
-constexpr base::Duration kShortestSilence = std::chrono::milliseconds(1400);
+constexpr base::Duration kMinSilence = std::chrono::milliseconds(1400);
 
 base::SocketAddress AddressOf(std::size_t agent) {
   return base::SocketAddress::Ipv4(0x7f000001, static_cast<std::uint16_t>(agent));
@@ -28,7 +28,7 @@
 
 std::vector<SimulatedAgent> MakeAgents(Mutant mutant) {
   std::vector<SimulatedAgent> agents;
-  for (std::size_t agent = 0; agent < FlowWorld::kAgents; ++agent) {
+  for (std::size_t agent = 0; agent < FlowSimulation::kAgents; ++agent) {
     agents.emplace_back(NodeOf(agent), mutant);
     agents.back().Start(kService);
   }
@@ -37,18 +37,18 @@
 
 }  // namespace
 
-void WorldCounts::Add(const WorldCounts& other) {
+void SimulationCounts::Add(const SimulationCounts& other) {
   opened += other.opened;
   served += other.served;
   served_on_walk += other.served_on_walk;
   passed_on += other.passed_on;
-  put_back += other.put_back;
+  recovered += other.recovered;
   for (std::size_t reason = 0; reason < dropped.size(); ++reason) {
     dropped[reason] += other.dropped[reason];
   }
 }
 
-FlowWorld::FlowWorld(Mutant mutant)
+FlowSimulation::FlowSimulation(Mutant mutant)
     : mutant_(mutant),
       planner_(kService, kBuckets, mutant),
       agents_(MakeAgents(mutant)),
@@ -57,21 +57,21 @@
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
     List(agent);
   }
-  SpreadAll();
+  PropagateAll();
 }
 
-std::size_t FlowWorld::BucketOf(std::size_t flow) { return KeyOf(flow).Hash() % kBuckets; }
+std::size_t FlowSimulation::BucketOf(std::size_t flow) { return KeyOf(flow).Hash() % kBuckets; }
 
-void FlowWorld::Send(std::size_t flow, std::size_t balancer) {
+void FlowSimulation::Send(std::size_t flow, std::size_t balancer) {
   if (std::optional<Datagram> datagram = Route(flow, balancer)) {
     network_.emplace_back(std::move(*datagram));
   }
-  if (network_.size() > kMostMessages) {
+  if (network_.size() > kMaxMessages) {
     network_.erase(network_.begin());
   }
 }
 
-void FlowWorld::Deliver(std::size_t number) {
+void FlowSimulation::Deliver(std::size_t number) {
   if (network_.empty()) {
     return;
   }
@@ -84,32 +84,32 @@
   Handle(std::move(message));
 }
 
-void FlowWorld::DeliverLatest() {
+void FlowSimulation::DeliverLatest() {
   if (!network_.empty()) {
     Deliver(network_.size() - 1);
   }
 }
 
-void FlowWorld::Duplicate(std::size_t number) {
+void FlowSimulation::Duplicate(std::size_t number) {
   if (!network_.empty()) {
     network_.push_back(Message(network_[number % network_.size()]));
   }
 }
 
-void FlowWorld::Lose(std::size_t number) {
+void FlowSimulation::Lose(std::size_t number) {
   if (!network_.empty()) {
     network_.erase(network_.begin() + static_cast<std::ptrdiff_t>(number % network_.size()));
   }
 }
 
-void FlowWorld::Move(std::size_t bucket, std::size_t agent) {
+void FlowSimulation::Move(std::size_t bucket, std::size_t agent) {
   planner_.Move(bucket % kBuckets, NodeOf(agent));
 }
 
-void FlowWorld::DeclareDead(std::size_t agent) {
+void FlowSimulation::DeclareDead(std::size_t agent) {
   const base::TimePoint confirmed_at = LastConfirmation(agent, planner_.Tables().size());
   const base::Duration silence =
-      mutant_ == Mutant::kDeclaresDeadAtOnce ? kShortestSilence : routing::kDeadAgentHold;
+      mutant_ == Mutant::kDeclaresDeadAtOnce ? kMinSilence : routing::kDeadAgentHold;
   const bool was_silent = now_ - confirmed_at > silence;
   if (!planner_.Lists(NodeOf(agent)) || (!was_silent && !agents_[agent].IsFrozenForLong(now_))) {
     return;
@@ -118,15 +118,15 @@
   oracle_.NoteDeclaredDead(agent, planner_.Newest().version);
 }
 
-void FlowWorld::List(std::size_t agent) {
+void FlowSimulation::List(std::size_t agent) {
   const SimulatedAgent& life = agents_[agent];
   if (life.State() == ProcessState::kGone || life.Service() != kService) {
     return;
   }
-  planner_.List({life.Node(), life.Life(), AddressOf(agent), ""});
+  planner_.List({life.Node(), life.CurrentIncarnation(), AddressOf(agent), ""});
 }
 
-void FlowWorld::SendTable(std::size_t agent, std::size_t age) {
+void FlowSimulation::SendTable(std::size_t agent, std::size_t age) {
   const std::vector<TablePointer>& tables = planner_.Tables();
   const std::size_t index = tables.size() - 1 - age % tables.size();
   const bool is_newest = index + 1 == tables.size();
@@ -137,51 +137,51 @@
   network_.emplace_back(TableMessage{agent, tables[index], LastConfirmation(agent, index)});
 }
 
-base::TimePoint FlowWorld::LastConfirmation(std::size_t agent, std::size_t table) const {
+base::TimePoint FlowSimulation::LastConfirmation(std::size_t agent, std::size_t table) const {
   const std::map<std::size_t, base::TimePoint>& confirmations = confirmations_[agent];
   const auto after = confirmations.upper_bound(table);
   return after == confirmations.begin() ? base::TimePoint() : std::prev(after)->second;
 }
 
-void FlowWorld::SetBalancerTable(std::size_t balancer, std::size_t age) {
+void FlowSimulation::SetBalancerTable(std::size_t balancer, std::size_t age) {
   const std::size_t count = planner_.Tables().size();
   balancer_tables_[balancer] = count - 1 - age % count;
 }
 
-void FlowWorld::SendReport(std::size_t agent) {
+void FlowSimulation::SendReport(std::size_t agent) {
   if (agents_[agent].IsRunning() && agents_[agent].Service() == kService) {
     network_.emplace_back(agents_[agent].Report());
   }
 }
 
-void FlowWorld::Drain(std::size_t agent) {
+void FlowSimulation::Drain(std::size_t agent) {
   if (agents_[agent].IsRunning()) {
     agents_[agent].StartDraining(now_);
   }
 }
 
-void FlowWorld::Freeze(std::size_t agent) { agents_[agent].Freeze(now_); }
+void FlowSimulation::Freeze(std::size_t agent) { agents_[agent].Freeze(now_); }
 
-void FlowWorld::Crash(std::size_t agent) { agents_[agent].Crash(); }
+void FlowSimulation::Crash(std::size_t agent) { agents_[agent].Crash(); }
 
-void FlowWorld::Restart(std::size_t agent) {
+void FlowSimulation::Restart(std::size_t agent) {
   if (agents_[agent].State() == ProcessState::kGone) {
     agents_[agent].Start(kService);
   }
 }
 
-void FlowWorld::Recycle(std::size_t agent) {
+void FlowSimulation::ReassignToOtherService(std::size_t agent) {
   agents_[agent].Crash();
   agents_[agent].Start(kOtherService);
   routing::BucketTable table;
   table.service = kOtherService;
   table.version = {1, 0, 1};
-  table.agents = {{NodeOf(agent), agents_[agent].Life(), AddressOf(agent), ""}};
+  table.agents = {{NodeOf(agent), agents_[agent].CurrentIncarnation(), AddressOf(agent), ""}};
   table.buckets.assign(kBuckets, {table.version, NodeOf(agent), {}});
   agents_[agent].UpdateTable(table, now_);
 }
 
-void FlowWorld::AdvanceTime(base::Duration step) {
+void FlowSimulation::AdvanceTime(base::Duration step) {
   constexpr base::Duration kTickPeriod = std::chrono::milliseconds(500);
   const base::TimePoint end = now_ + step;
   while (now_ < end) {
@@ -194,7 +194,8 @@
   }
 }
 
-std::optional<FlowWorld::Datagram> FlowWorld::Route(std::size_t flow, std::size_t balancer) const {
+std::optional<FlowSimulation::Datagram> FlowSimulation::Route(std::size_t flow,
+                                                              std::size_t balancer) const {
   const routing::BucketTable& table = *planner_.Tables()[balancer_tables_[balancer]];
   Datagram datagram;
   datagram.flow = flow;
@@ -212,7 +213,7 @@
   return datagram;
 }
 
-bool FlowWorld::CanReceive(const Message& message) const {
+bool FlowSimulation::CanReceive(const Message& message) const {
   if (const auto* const datagram = std::get_if<Datagram>(&message)) {
     return agents_[datagram->to].State() != ProcessState::kFrozen;
   }
@@ -222,7 +223,7 @@
   return true;
 }
 
-void FlowWorld::Handle(Message message) {
+void FlowSimulation::Handle(Message message) {
   if (auto* const datagram = std::get_if<Datagram>(&message)) {
     if (std::optional<Datagram> next = Process(std::move(*datagram))) {
       network_.emplace_back(std::move(*next));
@@ -236,7 +237,7 @@
   }
 }
 
-std::optional<FlowWorld::Datagram> FlowWorld::Process(Datagram datagram) {
+std::optional<FlowSimulation::Datagram> FlowSimulation::Process(Datagram datagram) {
   last_action_.reset();
   SimulatedAgent& agent = agents_[datagram.to];
   if (!agent.IsRunning()) {
@@ -256,20 +257,20 @@
   return std::nullopt;
 }
 
-void FlowWorld::NoteRelayed(const Datagram& datagram, bool is_new) {
+void FlowSimulation::NoteRelayed(const Datagram& datagram, bool is_new) {
   const bool on_walk = datagram.header.walk == wire::ChainWalk::kWalking;
   const bool had_holder = oracle_.HolderOf(KeyOf(datagram.flow)).has_value();
   ++(is_new ? counts_.opened : counts_.served);
   counts_.served_on_walk += on_walk ? 1 : 0;
-  counts_.put_back += !is_new && !had_holder ? 1 : 0;
+  counts_.recovered += !is_new && !had_holder ? 1 : 0;
   const std::optional<std::string> rule =
       oracle_.NoteRelayed(datagram.to, KeyOf(datagram.flow), is_new, now_);
   if (rule) {
-    Break(*rule);
+    RecordViolation(*rule);
   }
 }
 
-void FlowWorld::Settle() {
+void FlowSimulation::SettleAndCheck() {
   network_.clear();
   AdvanceTime(routing::kDeadAgentHold + base::Duration(1));
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
@@ -281,16 +282,16 @@
       DeclareDead(agent);
     }
   }
-  SpreadAll();
+  PropagateAll();
   for (std::size_t flow = 0; flow < kFlows; ++flow) {
     for (std::size_t balancer = 0; balancer < kBalancers; ++balancer) {
-      AskForFlow(flow, balancer);
+      CheckFlowIsServed(flow, balancer);
     }
   }
 }
 
 // Spreads tables and reports until the planner changes nothing more.
-void FlowWorld::SpreadAll() {
+void FlowSimulation::PropagateAll() {
   constexpr int kRounds = 3;
   for (int round = 0; round < kRounds; ++round) {
     for (std::size_t agent = 0; agent < kAgents; ++agent) {
@@ -309,7 +310,7 @@
   }
 }
 
-void FlowWorld::AskForFlow(std::size_t flow, std::size_t balancer) {
+void FlowSimulation::CheckFlowIsServed(std::size_t flow, std::size_t balancer) {
   const std::optional<std::size_t> holder = oracle_.HolderOf(KeyOf(flow));
   std::optional<Datagram> datagram = Route(flow, balancer);
   if (!datagram) {
@@ -328,15 +329,15 @@
   if (!last_action_ || !std::holds_alternative<flow::Relay>(*last_action_)) {
     rule << "flow " << flow << " isn't served once all has settled: "
          << (reason == nullptr ? "lost" : ToString(*reason)) << " at agent " << at;
-    Break(rule.str());
+    RecordViolation(rule.str());
   } else if (holder && *holder != at) {
     rule << "flow " << flow << " is broken: agent " << *holder << " holds it, agent " << at
          << " served it";
-    Break(rule.str());
+    RecordViolation(rule.str());
   }
 }
 
-void FlowWorld::Break(const std::string& rule) {
+void FlowSimulation::RecordViolation(const std::string& rule) {
   if (!violation_) {
     violation_ = rule;
   }
--- a/proofs/flow_ownership/src/flow_world.h
+++ b/proofs/flow_ownership/src/flow_simulation.h
@@ -24,27 +24,27 @@
 namespace gaugevalve::proofs {
 
 // What happened in a run, to see that the proof isn't of nothing.
-struct WorldCounts {
+struct SimulationCounts {
   std::uint64_t opened = 0;
   std::uint64_t served = 0;
   std::uint64_t served_on_walk = 0;
   std::uint64_t passed_on = 0;
-  std::uint64_t put_back = 0;  // flows that came back after their agent was taken for dead
+  std::uint64_t recovered = 0;  // flows that came back after their agent was taken for dead
   std::array<std::uint64_t, flow::kDropReasonCount> dropped{};
 
-  void Add(const WorldCounts& other);
+  void Add(const SimulationCounts& other);
 };
 
 // Drives the agents' flow cores. Each method is one step of the adversary; numbers that are too
 // large wrap around, so any sequence of steps is valid.
-class FlowWorld {
+class FlowSimulation {
  public:
   static constexpr std::size_t kAgents = 4;
   static constexpr std::size_t kBalancers = 2;
   static constexpr std::size_t kBuckets = 2;
   static constexpr std::size_t kFlows = 4;
 
-  explicit FlowWorld(Mutant mutant);
+  explicit FlowSimulation(Mutant mutant);
 
   // Returns the bucket of a flow.
   static std::size_t BucketOf(std::size_t flow);
@@ -80,18 +80,18 @@
   void Restart(std::size_t agent);
 
   // The agent's machine goes to another service, under the same address and name.
-  void Recycle(std::size_t agent);
+  void ReassignToOtherService(std::size_t agent);
 
   void AdvanceTime(base::Duration step);
 
   // The adversary rests: everything thaws, tables and reports spread. Then each flow must be
   // served, and by the agent that holds it if there is one.
-  void Settle();
+  void SettleAndCheck();
 
   // Returns the first rule that was broken.
   const std::optional<std::string>& Violation() const { return violation_; }
 
-  const WorldCounts& Counts() const { return counts_; }
+  const SimulationCounts& Counts() const { return counts_; }
 
  private:
   struct Datagram {
@@ -114,9 +114,9 @@
   void Handle(Message message);
   std::optional<Datagram> Process(Datagram datagram);
   void NoteRelayed(const Datagram& datagram, bool is_new);
-  void SpreadAll();
-  void AskForFlow(std::size_t flow, std::size_t balancer);
-  void Break(const std::string& rule);
+  void PropagateAll();
+  void CheckFlowIsServed(std::size_t flow, std::size_t balancer);
+  void RecordViolation(const std::string& rule);
 
   Mutant mutant_;
   base::TimePoint now_{};
@@ -128,7 +128,7 @@
   std::vector<Message> network_;
   OwnershipOracle oracle_;
   std::optional<flow::FlowAction> last_action_;
-  WorldCounts counts_;
+  SimulationCounts counts_;
   std::optional<std::string> violation_;
 };
 
--- a/proofs/flow_ownership/src/ownership_oracle.cpp
+++ b/proofs/flow_ownership/src/ownership_oracle.cpp
@@ -5,7 +5,7 @@
 namespace gaugevalve::proofs {
 
 void OwnershipOracle::NoteDeclaredDead(std::size_t agent, const routing::TableVersion& version) {
-  verdicts_[agent] = {agents_[agent].Life(), version};
+  death_notices_[agent] = {agents_[agent].CurrentIncarnation(), version};
   std::erase_if(holders_, [&](const auto& entry) { return entry.second.agent == agent; });
 }
 
@@ -33,7 +33,7 @@
          << *holder;
     return rule.str();
   }
-  holders_[key.Hash()] = {agent, agents_[agent].Life()};
+  holders_[key.Hash()] = {agent, agents_[agent].CurrentIncarnation()};
   return std::nullopt;
 }
 
@@ -43,13 +43,15 @@
     return std::nullopt;
   }
   const SimulatedAgent& agent = agents_[found->second.agent];
-  const bool lives = agent.State() != ProcessState::kGone && agent.Life() == found->second.life;
+  const bool lives = agent.State() != ProcessState::kGone &&
+                     agent.CurrentIncarnation() == found->second.incarnation;
   return lives && agent.Holds(key) ? std::optional(found->second.agent) : std::nullopt;
 }
 
 bool OwnershipOracle::IsUnaware(std::size_t agent) const {
-  const auto found = verdicts_.find(agent);
-  return found != verdicts_.end() && found->second.life == agents_[agent].Life() &&
+  const auto found = death_notices_.find(agent);
+  return found != death_notices_.end() &&
+         found->second.incarnation == agents_[agent].CurrentIncarnation() &&
          !agents_[agent].HasTable(found->second.version);
 }
 
--- a/proofs/flow_ownership/src/ownership_oracle.h
+++ b/proofs/flow_ownership/src/ownership_oracle.h
@@ -22,7 +22,7 @@
 // nothing; once it has heard, the rules apply to it as to all.
 class OwnershipOracle {
  public:
-  // `agents` are those of the world, which outlives this.
+  // `agents` are those of the simulation, which outlives this.
   OwnershipOracle(const std::vector<SimulatedAgent>& agents, base::ServiceId service,
                   base::Duration freshness_limit)
       : agents_(agents), service_(service), freshness_limit_(freshness_limit) {}
@@ -41,12 +41,12 @@
   // A life of an agent.
   struct Holder {
     std::size_t agent = 0;
-    base::Incarnation life;
+    base::Incarnation incarnation;
   };
 
   // A life that was taken for dead, and the table that said so.
-  struct Verdict {
-    base::Incarnation life;
+  struct DeathNotice {
+    base::Incarnation incarnation;
     routing::TableVersion version;
   };
 
@@ -55,8 +55,8 @@
   const std::vector<SimulatedAgent>& agents_;
   base::ServiceId service_;
   base::Duration freshness_limit_;
-  std::map<std::uint64_t, Holder> holders_;  // by the flow key's hash
-  std::map<std::size_t, Verdict> verdicts_;  // by agent
+  std::map<std::uint64_t, Holder> holders_;           // by the flow key's hash
+  std::map<std::size_t, DeathNotice> death_notices_;  // by agent
 };
 
 }  // namespace gaugevalve::proofs
--- a/proofs/flow_ownership/src/planner_model.cpp
+++ b/proofs/flow_ownership/src/planner_model.cpp
@@ -38,12 +38,12 @@
 void PlannerModel::DeclareDead(base::NodeId node) {
   routing::BucketTable table = Newest();
   std::erase_if(table.agents, [&](const auto& entry) { return entry.node == node; });
-  const base::NodeId heir = table.agents.empty() ? base::NodeId() : table.agents.front().node;
+  const base::NodeId successor = table.agents.empty() ? base::NodeId() : table.agents.front().node;
   for (routing::Bucket& bucket : table.buckets) {
     std::erase(bucket.previous_owners, node);
     if (bucket.owner == node) {
-      std::erase(bucket.previous_owners, heir);
-      bucket.owner = heir;
+      std::erase(bucket.previous_owners, successor);
+      bucket.owner = successor;
     }
   }
   Publish(std::move(table));
--- a/proofs/flow_ownership/src/simulated_agent.cpp
+++ b/proofs/flow_ownership/src/simulated_agent.cpp
@@ -12,18 +12,20 @@
 }  // namespace
 
 void SimulatedAgent::Start(base::ServiceId service) {
-  life_ = base::Incarnation(life_.value() + 1);
+  incarnation_ = base::Incarnation(incarnation_.value() + 1);
   service_ = service;
   state_ = ProcessState::kRunning;
   confirmed_at_ = base::TimePoint::min();
-  const bool any_life = mutant_ == Mutant::kIgnoresIncarnation;
+  const bool accepts_any_incarnation = mutant_ == Mutant::kIgnoresIncarnation;
   flow::FlowCoreSettings settings;
   settings.table = {kFlowCapacity, kIdleTimeout};
   if (mutant_ == Mutant::kIgnoresPause) {
     settings.ownership.pause_threshold = std::chrono::hours(1);
   }
-  core_.emplace(flow::AgentIdentity{node_, any_life ? base::Incarnation() : life_, service},
-                settings);
+  core_.emplace(
+      flow::AgentIdentity{node_, accepts_any_incarnation ? base::Incarnation() : incarnation_,
+                          service},
+      settings);
 }
 
 void SimulatedAgent::Crash() {
@@ -83,7 +85,7 @@
 routing::AgentReport SimulatedAgent::Report() const {
   routing::AgentReport report;
   core_->FillReport(report);
-  report.incarnation = life_;
+  report.incarnation = incarnation_;
   return report;
 }
 
--- a/proofs/flow_ownership/src/simulated_agent.h
+++ b/proofs/flow_ownership/src/simulated_agent.h
@@ -1,4 +1,4 @@
-// An agent of the world: a flow core with a life that can be frozen, lost and begun again.
+// An agent of the simulation: a flow core with a life that can be frozen, lost and begun again.
 #pragma once
 
 #include <cstdint>
@@ -47,7 +47,7 @@
   bool HasTable(const routing::TableVersion& version) const;
 
   base::NodeId Node() const { return node_; }
-  base::Incarnation Life() const { return life_; }
+  base::Incarnation CurrentIncarnation() const { return incarnation_; }
   base::ServiceId Service() const { return service_; }
   ProcessState State() const { return state_; }
   bool IsRunning() const { return state_ == ProcessState::kRunning; }
@@ -63,7 +63,7 @@
   base::NodeId node_;
   Mutant mutant_;
   base::ServiceId service_;
-  base::Incarnation life_;
+  base::Incarnation incarnation_;
   ProcessState state_ = ProcessState::kGone;
   base::TimePoint confirmed_at_{};
   base::TimePoint frozen_at_{};
--- a/proofs/hand_over/hand_over_proof.cpp
+++ b/proofs/hand_over/hand_over_proof.cpp
@@ -2,7 +2,7 @@
 // several agents, through lost, doubled, reordered and late messages, frozen, killed and restarted
 // agents, drains, cancellations, deadlines and pauses of both bodies.
 //
-// Oracle (RequestLedger): never told "not run" of what ran or runs later, no second run of an
+// Oracle (RequestOracle): never told "not run" of what ran or runs later, no second run of an
 // unsafe request, bodies and answers byte for byte, one hop, nothing held past its deadline, tables
 // within their bounds, and everything ends.
 
@@ -10,7 +10,7 @@
 #include <rapidcheck/state.h>
 
 #include "gaugevalve/testing/proof.h"
-#include "hand_over_world.h"
+#include "hand_over_simulation.h"
 
 namespace gaugevalve::proofs {
 namespace {
@@ -20,15 +20,15 @@
 struct NoModel {};
 
 // One event, chosen by number so that shrinking finds a short and simple history.
-struct Event : rc::state::Command<NoModel, HandOverWorld> {
+struct Event : rc::state::Command<NoModel, HandOverSimulation> {
   std::uint32_t kind = *rc::gen::inRange<std::uint32_t>(0, 38);
   std::uint32_t first = *rc::gen::inRange<std::uint32_t>(0, 64);
   std::uint32_t second = *rc::gen::inRange<std::uint32_t>(0, 64);
 
-  void run(const NoModel& /*model*/, HandOverWorld& world) const override {
-    Apply(world);
-    if (!world.Broken().empty()) {
-      RC_FAIL(world.Broken());
+  void run(const NoModel& /*model*/, HandOverSimulation& simulation) const override {
+    Apply(simulation);
+    if (!simulation.Violation().empty()) {
+      RC_FAIL(simulation.Violation());
     }
   }
 
@@ -36,115 +36,115 @@
     stream << "event " << kind << " (" << first << ", " << second << ")";
   }
 
-  void Apply(HandOverWorld& world) const {
-    constexpr std::uint32_t kShortStep = 10;
-    constexpr std::uint32_t kLongStep = 90;
+  void Apply(HandOverSimulation& simulation) const {
+    constexpr std::uint32_t kShortStepMs = 10;
+    constexpr std::uint32_t kLongStepMs = 90;
     switch (kind) {
       case 0:
       case 1:
       case 2:
       case 3:
       case 4:
-        return world.Request(first, second);
+        return simulation.Request(first, second);
       case 5:
-        return world.CancelRequest(first);
+        return simulation.CancelRequest(first);
       case 6:
-        return world.PauseAnswer(first, second % 2 == 0);
+        return simulation.PauseAnswer(first, second % 2 == 0);
       case 7:
-        return world.PauseBody(first, second % 2 == 0);
+        return simulation.PauseBody(first, second % 2 == 0);
       case 8:
-        return world.LoseMessage(first);
+        return simulation.LoseMessage(first);
       case 9:
       case 10:
       case 11:
-        return world.DelayMessage(first, second % 3 != 0);
+        return simulation.HoldBackMessage(first, second % 3 != 0);
       case 12:
       case 13:
-        return world.DeliverLate(first);
+        return simulation.DeliverHeldBack(first);
       case 14:
-        return second % 3 == 0 ? world.Kill(first) : world.Restart(first);
+        return second % 3 == 0 ? simulation.Kill(first) : simulation.Restart(first);
       case 15:
-        return world.Restart(first);
+        return simulation.Restart(first);
       case 16:
-        return world.Freeze(first);
+        return simulation.Freeze(first);
       case 17:
       case 18:
-        return world.Wake(first);
+        return simulation.Thaw(first);
       case 19:
       case 20:
-        return second % 2 == 0 ? world.SetDraining(first, second % 3 == 0)
-                               : world.SetBusy(first, second % 3 == 0);
+        return second % 2 == 0 ? simulation.SetDraining(first, second % 3 == 0)
+                               : simulation.SetBusy(first, second % 3 == 0);
       case 21:
-        return world.SetListed(first, second % 4 != 0);
+        return simulation.SetListed(first, second % 4 != 0);
       case 22:
-        return world.GiveTable(first);
+        return simulation.DeliverTable(first);
       case 23:
       case 24:
-        return world.PassTime(first * kShortStep);
+        return simulation.AdvanceTime(first * kShortStepMs);
       case 25:
       case 26:
-        return world.RunFor(first * kLongStep);
+        return simulation.RunNetworkFor(first * kLongStepMs);
       case 27:
       case 28:
       case 29:
-        return world.DeliverAll();
+        return simulation.DeliverAll();
       case 30:
       case 31:
       case 32:
       case 33:
-        return world.AdvanceRun(first, second);
+        return simulation.AdvanceRun(first, second);
       default:
-        return world.DeliverMessage(first);
+        return simulation.DeliverMessage(first);
     }
   }
 };
 
-void EndsOnceAndTruly(const HandOverMechanisms& mechanisms) {
+void EndsOnceWithTrueOutcome(const HandOverMechanisms& mechanisms) {
   // One remembered origin makes an agent forget; plenty is the common case.
-  HandOverWorld world(mechanisms, *rc::gen::element<std::size_t>(1, 8, 8, 8));
-  rc::state::check(NoModel(), world, [](const NoModel& /*model*/) {
+  HandOverSimulation simulation(mechanisms, *rc::gen::element<std::size_t>(1, 8, 8, 8));
+  rc::state::check(NoModel(), simulation, [](const NoModel& /*model*/) {
     return rc::gen::exec([] {
-      return std::shared_ptr<const rc::state::Command<NoModel, HandOverWorld>>(
+      return std::shared_ptr<const rc::state::Command<NoModel, HandOverSimulation>>(
           std::make_shared<Event>());
     });
   });
-  world.Settle();
-  if (!world.Broken().empty()) {
-    RC_FAIL(world.Broken());
+  simulation.FinishAndCheck();
+  if (!simulation.Violation().empty()) {
+    RC_FAIL(simulation.Violation());
   }
 }
 
 const testing::RegisteredProof ends_once("handed_over_request_ends_once_and_truly",
                                          testing::ProofKind::kHolds,
-                                         [] { EndsOnceAndTruly(HandOverMechanisms()); });
+                                         [] { EndsOnceWithTrueOutcome(HandOverMechanisms()); });
 
 // Registers the property with one mechanism switched off.
-testing::RegisteredProof Without(const char* name, bool HandOverMechanisms::*mechanism) {
+testing::RegisteredProof MutantWithout(const char* name, bool HandOverMechanisms::*mechanism) {
   return {name, testing::ProofKind::kMutantIsCaught, [mechanism] {
             HandOverMechanisms mechanisms;
             mechanisms.*mechanism = false;
-            EndsOnceAndTruly(mechanisms);
+            EndsOnceWithTrueOutcome(mechanisms);
           }};
 }
 
 const testing::RegisteredProof sequence =
-    Without("without_check_sequence", &HandOverMechanisms::check_sequence);
+    MutantWithout("without_check_sequence", &HandOverMechanisms::check_sequence);
 const testing::RegisteredProof incarnation =
-    Without("without_check_incarnation", &HandOverMechanisms::check_incarnation);
+    MutantWithout("without_check_incarnation", &HandOverMechanisms::check_incarnation);
 const testing::RegisteredProof hops =
-    Without("without_bound_hops", &HandOverMechanisms::bound_hops);
+    MutantWithout("without_bound_hops", &HandOverMechanisms::bound_hops);
 const testing::RegisteredProof ended =
-    Without("without_remember_ended", &HandOverMechanisms::remember_ended);
+    MutantWithout("without_remember_ended", &HandOverMechanisms::remember_ended);
 const testing::RegisteredProof silence =
-    Without("without_silence_is_unknown", &HandOverMechanisms::silence_is_unknown);
+    MutantWithout("without_silence_is_unknown", &HandOverMechanisms::silence_is_unknown);
 const testing::RegisteredProof repeats =
-    Without("without_repeat_only_safe", &HandOverMechanisms::repeat_only_safe);
+    MutantWithout("without_repeat_only_safe", &HandOverMechanisms::repeat_only_safe);
 const testing::RegisteredProof loss =
-    Without("without_remember_loss", &HandOverMechanisms::remember_loss);
+    MutantWithout("without_remember_loss", &HandOverMechanisms::remember_loss);
 const testing::RegisteredProof refused =
-    Without("without_remember_refused", &HandOverMechanisms::remember_refused);
+    MutantWithout("without_remember_refused", &HandOverMechanisms::remember_refused);
 const testing::RegisteredProof in_flight =
-    Without("without_bound_in_flight", &HandOverMechanisms::bound_in_flight);
+    MutantWithout("without_bound_in_flight", &HandOverMechanisms::bound_in_flight);
 
 }  // namespace
 }  // namespace gaugevalve::proofs
--- a/proofs/hand_over/request_ledger.cpp
+++ b/proofs/hand_over/request_oracle.cpp
@@ -1,25 +1,25 @@
-#include "request_ledger.h"
+#include "request_oracle.h"
 
 namespace gaugevalve::proofs {
 namespace {
 
-constexpr int kMostExecutionsOfSafe = 2;  // HandOverLimits::max_offers
+constexpr int kMaxSafeExecutions = 2;  // HandOverLimits::max_offers
 
-// Bytes that differ between requests and between places in one.
+// OnAnswerBytes that differ between requests and between places in one.
 std::string Content(std::uint64_t number, std::size_t size, std::uint64_t salt) {
-  constexpr std::uint64_t kStep = 31;
+  constexpr std::uint64_t kStepMs = 31;
   std::string bytes(size, '\0');
   for (std::size_t index = 0; index < size; ++index) {
-    bytes[index] = static_cast<char>(number * kStep + salt + index * (index >> 8U) + index);
+    bytes[index] = static_cast<char>(number * kStepMs + salt + index * (index >> 8U) + index);
   }
   return bytes;
 }
 
 }  // namespace
 
-std::uint64_t RequestLedger::Add(bool is_safe, std::size_t body_size, std::size_t answer_size) {
+std::uint64_t RequestOracle::Add(bool is_safe, std::size_t body_size, std::size_t answer_size) {
   const std::uint64_t number = entries_.size();
-  LedgerEntry entry;
+  OracleEntry entry;
   entry.is_safe = is_safe;
   entry.body = Content(number, body_size, 1);
   entry.answer = Content(number, answer_size, 2);
@@ -27,64 +27,64 @@
   return number;
 }
 
-void RequestLedger::Require(bool holds, std::string_view promise) {
-  if (!holds && broken_.empty()) {
-    broken_ = promise;
+void RequestOracle::Require(bool holds, std::string_view requirement) {
+  if (!holds && violation_.empty()) {
+    violation_ = requirement;
   }
 }
 
-void RequestLedger::Executed(std::uint64_t number) {
-  LedgerEntry& entry = entries_[number];
+void RequestOracle::OnExecuted(std::uint64_t number) {
+  OracleEntry& entry = entries_[number];
   ++entry.executions;
   Require(!entry.was_told_not_run, "ran though its caller was told that it wouldn't");
-  Require(entry.executions <= (entry.is_safe ? kMostExecutionsOfSafe : 1), "ran too often");
+  Require(entry.executions <= (entry.is_safe ? kMaxSafeExecutions : 1), "ran too often");
 }
 
-void RequestLedger::EndpointReceived(std::uint64_t number, std::string_view body, bool is_whole) {
-  const LedgerEntry& entry = entries_[number];
+void RequestOracle::OnBodyReceived(std::uint64_t number, std::string_view body, bool is_whole) {
+  const OracleEntry& entry = entries_[number];
   Require(entry.body.starts_with(body), "the endpoint got another body");
   Require(!is_whole || body.size() == entry.body.size(), "a part of a body passed for the whole");
 }
 
-void RequestLedger::Moved(std::uint64_t number) {
-  ++entries_[number].moves;
-  Require(entries_[number].moves <= 1, "handed over more than once");
+void RequestOracle::OnHandedOver(std::uint64_t number) {
+  ++entries_[number].hand_over_count;
+  Require(entries_[number].hand_over_count <= 1, "handed over more than once");
 }
 
-void RequestLedger::Head(std::uint64_t number) {
-  LedgerEntry& entry = entries_[number];
+void RequestOracle::OnAnswerHead(std::uint64_t number) {
+  OracleEntry& entry = entries_[number];
   Require(!entry.has_ended && !entry.has_head, "a second answer");
   Require(entry.executions > 0, "an answer of nobody");
   entry.has_head = true;
 }
 
-void RequestLedger::Bytes(std::uint64_t number, std::string_view bytes) {
-  LedgerEntry& entry = entries_[number];
+void RequestOracle::OnAnswerBytes(std::uint64_t number, std::string_view bytes) {
+  OracleEntry& entry = entries_[number];
   Require(!entry.has_ended && entry.has_head, "bytes outside an answer");
   entry.received += bytes;
   Require(entry.answer.starts_with(entry.received), "the answer isn't the endpoint's");
 }
 
-void RequestLedger::Whole(std::uint64_t number) {
+void RequestOracle::OnAnswerCompleted(std::uint64_t number) {
   Require(entries_[number].received == entries_[number].answer,
           "a part of an answer passed for the whole");
   End(number);
 }
 
-void RequestLedger::Cut(std::uint64_t number) {
+void RequestOracle::OnAnswerAborted(std::uint64_t number) {
   Require(entries_[number].has_head, "cut before it began");
   End(number);
 }
 
-void RequestLedger::Refused(std::uint64_t number, requests::RequestOutcome outcome) {
-  LedgerEntry& entry = entries_[number];
+void RequestOracle::OnRefused(std::uint64_t number, requests::RequestOutcome outcome) {
+  OracleEntry& entry = entries_[number];
   Require(!entry.has_head, "refused within an answer");
   entry.was_told_not_run = outcome == requests::RequestOutcome::kNotRun;
   Require(!entry.was_told_not_run || entry.executions == 0, "told 'not run' though it ran");
   End(number);
 }
 
-void RequestLedger::End(std::uint64_t number) {
+void RequestOracle::End(std::uint64_t number) {
   Require(!entries_[number].has_ended, "ended twice");
   entries_[number].has_ended = true;
 }
--- a/proofs/hand_over/request_ledger.h
+++ b/proofs/hand_over/request_oracle.h
@@ -15,7 +15,7 @@
 namespace gaugevalve::proofs {
 
 // One request as its caller and the endpoints know it.
-struct LedgerEntry {
+struct OracleEntry {
   bool is_safe = false;
   std::string body;
   std::string answer;  // the endpoint's own
@@ -24,49 +24,49 @@
   base::Incarnation origin_incarnation;
   std::size_t body_given = 0;  // to the origin's core
   int executions = 0;
-  int moves = 0;  // from agent to agent, tries at other peers aside
+  int hand_over_count = 0;  // from agent to agent, tries at other peers aside
   bool has_head = false;
   std::string received;
   bool has_ended = false;
   bool was_told_not_run = false;
 };
 
-// Follows every request. The first broken promise is kept in words; the proof asks for it after
+// Follows every request. The first broken requirement is kept in words; the proof asks for it after
 // each event.
-class RequestLedger {
+class RequestOracle {
  public:
   // Adds a request and returns its number. Content follows from the number and these sizes.
   std::uint64_t Add(bool is_safe, std::size_t body_size, std::size_t answer_size);
 
-  LedgerEntry& Of(std::uint64_t number) { return entries_[number]; }
+  OracleEntry& Of(std::uint64_t number) { return entries_[number]; }
   std::size_t Size() const { return entries_.size(); }
 
   // An endpoint began to run the request.
-  void Executed(std::uint64_t number);
+  void OnExecuted(std::uint64_t number);
   // An endpoint was given the body.
-  void EndpointReceived(std::uint64_t number, std::string_view body, bool is_whole);
+  void OnBodyReceived(std::uint64_t number, std::string_view body, bool is_whole);
   // An agent handed the request to another.
-  void Moved(std::uint64_t number);
+  void OnHandedOver(std::uint64_t number);
 
   // What the caller was given.
-  void Head(std::uint64_t number);
-  void Bytes(std::uint64_t number, std::string_view bytes);
-  void Whole(std::uint64_t number);
-  void Cut(std::uint64_t number);
-  void Refused(std::uint64_t number, requests::RequestOutcome outcome);
+  void OnAnswerHead(std::uint64_t number);
+  void OnAnswerBytes(std::uint64_t number, std::string_view bytes);
+  void OnAnswerCompleted(std::uint64_t number);
+  void OnAnswerAborted(std::uint64_t number);
+  void OnRefused(std::uint64_t number, requests::RequestOutcome outcome);
   // The caller gave it up, or its agent is gone.
-  void GivenUp(std::uint64_t number) { entries_[number].has_ended = true; }
+  void OnAbandoned(std::uint64_t number) { entries_[number].has_ended = true; }
 
-  void Require(bool holds, std::string_view promise);
+  void Require(bool holds, std::string_view requirement);
 
-  // Returns the first broken promise, or nothing.
-  const std::string& Broken() const { return broken_; }
+  // Returns the first broken requirement, or nothing.
+  const std::string& Violation() const { return violation_; }
 
  private:
   void End(std::uint64_t number);
 
-  std::vector<LedgerEntry> entries_;
-  std::string broken_;
+  std::vector<OracleEntry> entries_;
+  std::string violation_;
 };
 
 }  // namespace gaugevalve::proofs
