--- a/libs/flow/src/bucket_ownership.cpp
+++ b/libs/flow/src/bucket_ownership.cpp
@@ -5,9 +5,9 @@
 namespace gaugevalve::flow {
 namespace {
 
-Ruling Drop(DropReason reason) { return {Verdict::kDrop, {}, reason, false}; }
+OwnershipDecision Drop(DropReason reason) { return {Verdict::kDrop, {}, reason, false}; }
 
-Ruling Serve(bool confirms_flow) { return {Verdict::kServe, {}, {}, confirms_flow}; }
+OwnershipDecision Serve(bool confirms_flow) { return {Verdict::kServe, {}, {}, confirms_flow}; }
 
 }  // namespace
 
@@ -46,8 +46,8 @@
   draining_since_ = draining_since_.value_or(now);
 }
 
-std::optional<DropReason> BucketOwnership::Settle(wire::ForwardingHeader& header,
-                                                  std::uint64_t flow_key_hash) {
+std::optional<DropReason> BucketOwnership::ReconcileEntry(wire::ForwardingHeader& header,
+                                                          std::uint64_t flow_key_hash) {
   if (header.service != identity_.service) {
     return DropReason::kForeignService;
   }
@@ -75,9 +75,9 @@
   return std::nullopt;
 }
 
-Ruling BucketOwnership::Rule(wire::ForwardingHeader& header,
-                             const std::optional<routing::TableVersion>& held_version,
-                             base::TimePoint now) const {
+OwnershipDecision BucketOwnership::Decide(wire::ForwardingHeader& header,
+                                          const std::optional<routing::TableVersion>& held_version,
+                                          base::TimePoint now) const {
   if (held_version == header.entry.version) {
     return Serve(false);
   }
@@ -86,24 +86,24 @@
   }
   const bool hops_are_spent = header.hop_count >= kMaxHops;
   const bool is_owner = IsSelf(header.entry.owner);
-  Ruling ruling;
+  OwnershipDecision decision;
   if (header.walk == wire::ChainWalk::kFinished) {
-    ruling = EndWalk(header, held_version, now);
+    decision = EndWalk(header, held_version, now);
   } else if (is_owner) {
-    ruling = StartWalk(header, held_version, now);
+    decision = StartWalk(header, held_version, now);
   } else if (header.walk == wire::ChainWalk::kWalking) {
-    ruling = ContinueWalk(header, held_version);
+    decision = ContinueWalk(header, held_version);
   } else {
-    ruling = ForwardToOwner(header);
+    decision = ForwardToOwner(header);
   }
-  const bool passes_on = ruling.verdict == Verdict::kPassOn;
-  return passes_on && hops_are_spent ? Drop(DropReason::kHopLimit) : ruling;
+  const bool passes_on = decision.verdict == Verdict::kPassOn;
+  return passes_on && hops_are_spent ? Drop(DropReason::kHopLimit) : decision;
 }
 
 // At the owner: asks the first previous owner, or decides when there is none.
-Ruling BucketOwnership::StartWalk(wire::ForwardingHeader& header,
-                                  const std::optional<routing::TableVersion>& held_version,
-                                  base::TimePoint now) const {
+OwnershipDecision BucketOwnership::StartWalk(
+    wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held_version,
+    base::TimePoint now) const {
   const auto& chain = header.entry.previous_owners;
   const auto first = std::find_if_not(chain.begin(), chain.end(),
                                       [this](const auto& agent) { return IsSelf(agent); });
@@ -116,7 +116,7 @@
 }
 
 // At a previous owner: enters its claim and asks the next one; the last one ends the walk.
-Ruling BucketOwnership::ContinueWalk(
+OwnershipDecision BucketOwnership::ContinueWalk(
     wire::ForwardingHeader& header,
     const std::optional<routing::TableVersion>& held_version) const {
   const auto& chain = header.entry.previous_owners;
@@ -137,9 +137,9 @@
 }
 
 // Where a walk ended: at the agent whose claim is the best, or at the owner when there is none.
-Ruling BucketOwnership::EndWalk(wire::ForwardingHeader& header,
-                                const std::optional<routing::TableVersion>& held_version,
-                                base::TimePoint now) const {
+OwnershipDecision BucketOwnership::EndWalk(wire::ForwardingHeader& header,
+                                           const std::optional<routing::TableVersion>& held_version,
+                                           base::TimePoint now) const {
   const bool is_claimed = header.claim.holder != base::NodeId();
   const bool is_own_claim = header.claim.holder == identity_.node;
   const bool is_owner = IsSelf(header.entry.owner);
@@ -153,9 +153,10 @@
   return is_owner ? StartWalk(header, held_version, now) : ForwardToOwner(header);
 }
 
-Ruling BucketOwnership::OpenOrRefuse(const wire::BucketEntry& entry, base::TimePoint now) const {
+OwnershipDecision BucketOwnership::OpenOrRefuse(const wire::BucketEntry& entry,
+                                                base::TimePoint now) const {
   const std::optional<DropReason> reason = ReasonNotToOpen(entry, now);
-  return reason ? Drop(*reason) : Ruling{Verdict::kOpen, {}, {}, true};
+  return reason ? Drop(*reason) : OwnershipDecision{Verdict::kOpen, {}, {}, true};
 }
 
 std::optional<DropReason> BucketOwnership::ReasonNotToOpen(const wire::BucketEntry& entry,
@@ -185,7 +186,7 @@
   });
 }
 
-Ruling BucketOwnership::ForwardToClaimHolder(wire::ForwardingHeader& header) const {
+OwnershipDecision BucketOwnership::ForwardToClaimHolder(wire::ForwardingHeader& header) const {
   const auto& chain = header.entry.previous_owners;
   const auto claim_holder = std::find_if(chain.begin(), chain.end(), [&](const auto& agent) {
     return agent.node == header.claim.holder;
@@ -193,13 +194,14 @@
   return ForwardTo(claim_holder == chain.end() ? header.entry.owner : *claim_holder, header);
 }
 
-Ruling BucketOwnership::ForwardToOwner(wire::ForwardingHeader& header) {
+OwnershipDecision BucketOwnership::ForwardToOwner(wire::ForwardingHeader& header) {
   header.walk = wire::ChainWalk::kNotStarted;
   header.claim = {};
   return ForwardTo(header.entry.owner, header);
 }
 
-Ruling BucketOwnership::ForwardTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header) {
+OwnershipDecision BucketOwnership::ForwardTo(const wire::AgentAddress& agent,
+                                             wire::ForwardingHeader& header) {
   header.target = agent.node;
   header.target_incarnation = agent.incarnation;
   ++header.hop_count;
--- a/libs/requests/src/hand_over_executor.cpp
+++ b/libs/requests/src/hand_over_executor.cpp
@@ -24,7 +24,7 @@
   return frame;
 }
 
-proto::HandOverFrame CutFrame() {
+proto::HandOverFrame AbortFrame() {
   proto::HandOverFrame frame;
   frame.set_cut(true);
   return frame;
@@ -132,7 +132,7 @@
     SendAnswer(id, run, now, actions);
     if (run.waits_for_room && run.answer.HasRoom()) {
       run.waits_for_room = false;
-      actions.executor.push_back({KeyOf(id), AnswerWanted{}});
+      actions.executor.push_back({KeyOf(id), AnswerWritable{}});
     }
   }
 }
@@ -146,7 +146,7 @@
   if (frame.has_end()) {
     actions.executor.push_back({id, BodyEnded{}});
   } else {
-    actions.executor.push_back({id, BodyBytesCame{frame.bytes()}});
+    actions.executor.push_back({id, BodyBytesReceived{frame.bytes()}});
   }
 }
 
@@ -177,7 +177,7 @@
     return;
   }
   if (found->has_answer_begun) {
-    Finish(run, *found, CutFrame(), now, actions);
+    Finish(run, *found, AbortFrame(), now, actions);
     return;
   }
   found->was_refused = refusal.outcome == RequestOutcome::kNotRun;
@@ -226,11 +226,11 @@
   }
 }
 
-void HandOverExecutor::CutAnswer(const HandOverId& run, base::TimePoint now,
-                                 HandOverActions& actions) {
+void HandOverExecutor::AbortAnswer(const HandOverId& run, base::TimePoint now,
+                                   HandOverActions& actions) {
   Run* const found = Find(run);
   if (found != nullptr && !found->has_ended) {
-    Finish(run, *found, CutFrame(), now, actions);
+    Finish(run, *found, AbortFrame(), now, actions);
   }
 }
 
--- a/libs/requests/src/peer_loads.cpp
+++ b/libs/requests/src/peer_loads.cpp
@@ -4,7 +4,8 @@
 
 namespace gaugevalve::requests {
 
-std::optional<HandOverNeed> NeedOf(const LocalSituation& situation, const HandOverLimits& limits) {
+std::optional<HandOverNeed> FindHandOverNeed(const LocalSituation& situation,
+                                             const HandOverLimits& limits) {
   const bool exceeds_hop_limit = situation.was_handed_over && limits.mechanisms.bound_hops;
   if (exceeds_hop_limit || situation.is_stream) {
     return std::nullopt;
--- a/proofs/hand_over/hand_over_simulation.cpp
+++ b/proofs/hand_over/hand_over_simulation.cpp
@@ -106,7 +106,7 @@
   requests::LocalSituation situation;
   situation.was_handed_over = was_handed_over;
   situation.is_draining = true;
-  const auto need = requests::NeedOf(situation, limits_);
+  const auto need = requests::FindHandOverNeed(situation, limits_);
   if (!need) {
     return false;
   }
@@ -198,15 +198,15 @@
   if (!IsCurrentOrigin(oracle_.Of(number), node)) {
     return;  // handed on by an agent that isn't its caller's
   }
-  if (const auto* const bytes = std::get_if<requests::AnswerBytesCame>(&event.what)) {
+  if (const auto* const bytes = std::get_if<requests::AnswerBytesReceived>(&event.what)) {
     oracle_.OnAnswerBytes(number, bytes->bytes);
   } else if (const auto* const refused = std::get_if<requests::HandOverRefused>(&event.what)) {
     oracle_.OnRefused(number, refused->refusal.outcome);
-  } else if (std::holds_alternative<requests::AnswerHeadCame>(event.what)) {
+  } else if (std::holds_alternative<requests::AnswerHeadReceived>(event.what)) {
     oracle_.OnAnswerHead(number);
   } else if (std::holds_alternative<requests::AnswerEnded>(event.what)) {
     oracle_.OnAnswerCompleted(number);
-  } else if (std::holds_alternative<requests::AnswerCut>(event.what)) {
+  } else if (std::holds_alternative<requests::AnswerAborted>(event.what)) {
     oracle_.OnAnswerAborted(number);
   } else {
     SendBody(node, number);
@@ -235,12 +235,12 @@
   if (run == nullptr) {
     return;
   }
-  if (const auto* const bytes = std::get_if<requests::BodyBytesCame>(&event.what)) {
+  if (const auto* const bytes = std::get_if<requests::BodyBytesReceived>(&event.what)) {
     run->body += bytes->bytes;
     oracle_.OnBodyReceived(run->request, run->body, false);
   } else if (std::holds_alternative<requests::BodyEnded>(event.what)) {
     oracle_.OnBodyReceived(run->request, run->body, true);
-  } else if (std::holds_alternative<requests::AnswerWanted>(event.what)) {
+  } else if (std::holds_alternative<requests::AnswerWritable>(event.what)) {
     run->has_room = true;
   } else {
     run->stage = Run::Stage::kEnded;
@@ -303,7 +303,7 @@
     chosen.stage = Run::Stage::kAnswering;
     executor.BeginAnswer(chosen.id, head, now_, actions);
   } else if (fails) {
-    executor.CutAnswer(chosen.id, now_, actions);
+    executor.AbortAnswer(chosen.id, now_, actions);
     chosen.stage = Run::Stage::kEnded;
   } else if (chosen.has_room) {
     const std::string part = oracle_.Of(chosen.request).answer.substr(chosen.answered, kPartBytes);
@@ -462,7 +462,7 @@
   for (std::uint32_t number = 0; number < kAgents; ++number) {
     const base::NodeId node = NodeAt(number);
     if (Agent* const agent = FindRunning(node)) {
-      const requests::OwnLoad load{kSlots, kSlots, !agent->is_draining};
+      const requests::LocalLoad load{kSlots, kSlots, !agent->is_draining};
       Apply(node, agent->core->OnTimer(load, now_));
     }
   }
