--- a/libs/flow/tests/bucket_ownership_test.cpp
+++ b/libs/flow/tests/bucket_ownership_test.cpp
@@ -88,18 +88,18 @@
   CPPUNIT_TEST_SUITE(BucketOwnershipTest);
   CPPUNIT_TEST(OwnerWithoutChainOpens);
   CPPUNIT_TEST(OwnerAsksTheWholeChainBeforeItOpens);
-  CPPUNIT_TEST(PreviousOwnerServesWhatItHas);
+  CPPUNIT_TEST(PreviousOwnerServesItsFlows);
   CPPUNIT_TEST(PreviousOwnerNeverOpensUnderAnOlderEntry);
   CPPUNIT_TEST(NewerEntryOfADatagramIsRemembered);
-  CPPUNIT_TEST(NewerEntryStartsTheWalkAnew);
+  CPPUNIT_TEST(NewerEntryRestartsTheWalk);
   CPPUNIT_TEST(UnconfirmedFlowIsServedOnlyAfterAWalk);
   CPPUNIT_TEST(NewestClaimServes);
-  CPPUNIT_TEST(ClaimThatLapsedIsAskedForAnew);
+  CPPUNIT_TEST(LapsedClaimRestartsTheWalk);
   CPPUNIT_TEST(ForeignDatagramsAreDropped);
-  CPPUNIT_TEST(StaleAgentServesButOpensNothing);
-  CPPUNIT_TEST(AgentThatWasFrozenOpensNothingUntilConfirmed);
-  CPPUNIT_TEST(FormerLifeInTheTableOpensNothing);
-  CPPUNIT_TEST(DrainingAgentOpensNothingAfterTheGrace);
+  CPPUNIT_TEST(StaleAgentServesButOpensNoFlows);
+  CPPUNIT_TEST(ThawedAgentOpensNoFlowsUntilConfirmed);
+  CPPUNIT_TEST(AgentListedWithPreviousIncarnationOpensNoFlows);
+  CPPUNIT_TEST(DrainingAgentOpensNoFlowsAfterTheGracePeriod);
   CPPUNIT_TEST(HopsAreBounded);
   CPPUNIT_TEST(TableOfAnotherSizeIsIgnored);
   CPPUNIT_TEST_SUITE_END();
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint8_t{3}, header.hop_count);
   }
 
-  void PreviousOwnerServesWhatItHas() {
+  void PreviousOwnerServesItsFlows() {
     const auto table = MakeTable(2, 1, {2});
     auto header = FromBalancer(table);
     Agent(1, table).Decide(header);
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("pass:1"), agent.Decide(older));
   }
 
-  void NewerEntryStartsTheWalkAnew() {
+  void NewerEntryRestartsTheWalk() {
     auto header = FromBalancer(MakeTable(1, 1, {2}));
     header.walk = wire::ChainWalk::kFinished;
     CPPUNIT_ASSERT_EQUAL(std::string("pass:3"), Agent(1, MakeTable(2, 1, {3})).Decide(header));
@@ -173,7 +173,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("serve"), Agent(3, table).Decide(header, 7));
   }
 
-  void ClaimThatLapsedIsAskedForAnew() {
+  void LapsedClaimRestartsTheWalk() {
     const auto table = MakeTable(9, 1, {2, 3});
     auto header = FromBalancer(table);
     Agent(1, table).Decide(header);
@@ -201,7 +201,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("no_owner"), agent.Decide(nobody));
   }
 
-  void StaleAgentServesButOpensNothing() {
+  void StaleAgentServesButOpensNoFlows() {
     const auto table = MakeTable(1, 1, {});
     Agent agent(1, table);
     auto header = FromBalancer(table);
@@ -212,7 +212,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("open"), agent.Decide(header, 0, seconds(6)));
   }
 
-  void AgentThatWasFrozenOpensNothingUntilConfirmed() {
+  void ThawedAgentOpensNoFlowsUntilConfirmed() {
     const auto table = MakeTable(1, 1, {});
     Agent agent(1, table);
     auto header = FromBalancer(table);
@@ -226,7 +226,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("open"), agent.Decide(header, 0, seconds(2)));
   }
 
-  void FormerLifeInTheTableOpensNothing() {
+  void AgentListedWithPreviousIncarnationOpensNoFlows() {
     auto table = MakeTable(1, 1, {});
     table.agents[0].incarnation = base::Incarnation(9);
     Agent agent(1, table);
@@ -237,7 +237,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("open"), agent.Decide(header));
   }
 
-  void DrainingAgentOpensNothingAfterTheGrace() {
+  void DrainingAgentOpensNoFlowsAfterTheGracePeriod() {
     const auto table = MakeTable(1, 1, {});
     Agent agent(1, table);
     auto header = FromBalancer(table);
--- a/libs/flow/tests/flow_core_test.cpp
+++ b/libs/flow/tests/flow_core_test.cpp
@@ -31,7 +31,7 @@
 class FlowCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FlowCoreTest);
   CPPUNIT_TEST(SecondDatagramFindsTheFlow);
-  CPPUNIT_TEST(FullTableIsARefusal);
+  CPPUNIT_TEST(FullTableRefusesNewFlows);
   CPPUNIT_TEST(SourceOverItsLimitIsRefused);
   CPPUNIT_TEST(OwnFlowIsConfirmedAfterTheWalk);
   CPPUNIT_TEST(ReportCountsFlowsAndNamesTheTable);
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(core.Tick(base::TimePoint(seconds(400))) == std::vector{first.flow});
   }
 
-  void FullTableIsARefusal() {
+  void FullTableRefusesNewFlows() {
     FlowCore core = MakeCore({});
     core.UpdateTable(MakeTable(1, 1, {}), {});
     Decide(core, Key(1));
--- a/libs/flow/tests/flow_table_test.cpp
+++ b/libs/flow/tests/flow_table_test.cpp
@@ -15,14 +15,14 @@
 
 class FlowTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FlowTableTest);
-  CPPUNIT_TEST(FullTableRefusesAndKeepsWhatItHas);
+  CPPUNIT_TEST(FullTableRefusesNewFlowsAndKeepsOpenOnes);
   CPPUNIT_TEST(OnlyIdleFlowsAreClosed);
   CPPUNIT_TEST(FlowsAreCountedByBucket);
-  CPPUNIT_TEST(LimitsChangeWhileFlowsAreOpen);
+  CPPUNIT_TEST(LimitsCanChangeWhileFlowsAreOpen);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void FullTableRefusesAndKeepsWhatItHas() {
+  void FullTableRefusesNewFlowsAndKeepsOpenOnes() {
     const FlowId first = Open(1, 0);
     Open(2, 0);
     Open(3, 0);
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT(table_.CountByBucket(3) == (std::vector<std::uint32_t>{1, 0, 2}));
   }
 
-  void LimitsChangeWhileFlowsAreOpen() {
+  void LimitsCanChangeWhileFlowsAreOpen() {
     const FlowId first = Open(1, 0);
     Open(2, 0);
     table_.SetLimits({.capacity = 1, .idle_timeout = seconds(10)});
--- a/libs/flow/tests/source_limiter_test.cpp
+++ b/libs/flow/tests/source_limiter_test.cpp
@@ -15,7 +15,7 @@
   CPPUNIT_TEST_SUITE(SourceLimiterTest);
   CPPUNIT_TEST(SourceGetsItsBurstThenItsRate);
   CPPUNIT_TEST(OtherSourcesAreNotCharged);
-  CPPUNIT_TEST(FewCellsOnlyMeanSharing);
+  CPPUNIT_TEST(SourcesThatShareCellsAreChargedTogether);
   CPPUNIT_TEST(RateOfZeroAllowsAll);
   CPPUNIT_TEST_SUITE_END();
 
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(500, allowed);
   }
 
-  void FewCellsOnlyMeanSharing() {
+  void SourcesThatShareCellsAreChargedTogether() {
     SourceLimiter limiter({.rate = 10, .burst = 4, .cells = 1});
     CPPUNIT_ASSERT_EQUAL(5, CountAllowed(limiter, 1, 10, {}));
     CPPUNIT_ASSERT_EQUAL(0, CountAllowed(limiter, 2, 10, {}));
--- a/libs/requests/include/gaugevalve/requests/retry_budget.h
+++ b/libs/requests/include/gaugevalve/requests/retry_budget.h
@@ -14,7 +14,7 @@
   RetryBudget(double share, double burst) : share_(share), burst_(burst) {}
 
   // A first try was made.
-  void OnFirstTry();
+  void OnFirstAttempt();
 
   // Returns true and spends one retry when one is left; false when the caller must not retry.
   bool TakeRetry();
--- a/libs/requests/src/hand_over_origin.cpp
+++ b/libs/requests/src/hand_over_origin.cpp
@@ -56,7 +56,7 @@
   if (!OfferTo(exchange, now, actions)) {
     return false;
   }
-  retry_budget_.OnFirstTry();
+  retry_budget_.OnFirstAttempt();
   exchanges_.emplace(request.id, std::move(exchange));
   return true;
 }
--- a/libs/requests/src/request_pipeline.cpp
+++ b/libs/requests/src/request_pipeline.cpp
@@ -46,7 +46,7 @@
     OpenStream(arrived, actions);
     return actions;
   }
-  retry_budget_.OnFirstTry();
+  retry_budget_.OnFirstAttempt();
   Request request;
   request.admission.id = arrived.id;
   request.admission.deadline = now + arrived.timeout.value_or(default_timeout_);
--- a/libs/requests/src/retry_budget.cpp
+++ b/libs/requests/src/retry_budget.cpp
@@ -4,7 +4,7 @@
 
 namespace gaugevalve::requests {
 
-void RetryBudget::OnFirstTry() { balance_ = std::min(balance_ + share_, burst_); }
+void RetryBudget::OnFirstAttempt() { balance_ = std::min(balance_ + share_, burst_); }
 
 bool RetryBudget::TakeRetry() {
   if (balance_ < 1.0) {
--- a/libs/requests/tests/admission_queue_test.cpp
+++ b/libs/requests/tests/admission_queue_test.cpp
@@ -13,20 +13,20 @@
 
 class AdmissionQueueTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdmissionQueueTest);
-  CPPUNIT_TEST(SlotsFillThenTheQueue);
-  CPPUNIT_TEST(FullQueueRefusesAtOnceWithAHint);
-  CPPUNIT_TEST(MoreUrgentRequestTakesTheLastPlace);
+  CPPUNIT_TEST(FillsSlotsBeforeTheQueue);
+  CPPUNIT_TEST(FullQueueRefusesImmediatelyWithRetryAfter);
+  CPPUNIT_TEST(MoreUrgentRequestDisplacesTheLastOne);
   CPPUNIT_TEST(EarlierDeadlineStartsFirst);
-  CPPUNIT_TEST(HopelessDeadlineIsRefusedOnArrival);
-  CPPUNIT_TEST(WaitingRequestIsRefusedWhenItBecomesHopeless);
-  CPPUNIT_TEST(BrownOutKeepsRoomForTheUrgent);
-  CPPUNIT_TEST(DrainingTakesNothingButRunsWhatWaits);
-  CPPUNIT_TEST(StreamsHoldNoSlotAndAreBounded);
-  CPPUNIT_TEST(ShrunkQueueRefusesTheSurplus);
+  CPPUNIT_TEST(UnmeetableDeadlineIsRefusedOnSubmission);
+  CPPUNIT_TEST(WaitingRequestIsRefusedWhenItsDeadlineBecomesUnmeetable);
+  CPPUNIT_TEST(BrownOutReservesCapacityForUrgentRequests);
+  CPPUNIT_TEST(DrainingRefusesNewRequestsAndRunsWaitingOnes);
+  CPPUNIT_TEST(StreamsUseNoSlotAndAreBounded);
+  CPPUNIT_TEST(ShrunkQueueRefusesTheExcess);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SlotsFillThenTheQueue() {
+  void FillsSlotsBeforeTheQueue() {
     AdmissionQueue queue(Limits(2, 1), random_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Submit(queue, 1).start.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Submit(queue, 2).start.size());
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT(actions.start == std::vector<RequestId>{RequestId(3)});
   }
 
-  void FullQueueRefusesAtOnceWithAHint() {
+  void FullQueueRefusesImmediatelyWithRetryAfter() {
     AdmissionQueue queue(Limits(1, 1), random_);
     Submit(queue, 1);
     Submit(queue, 2);
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(RetryAfterSeconds(actions.refused[0].refusal) >= 1);
   }
 
-  void MoreUrgentRequestTakesTheLastPlace() {
+  void MoreUrgentRequestDisplacesTheLastOne() {
     AdmissionQueue queue(Limits(1, 1), random_);
     Submit(queue, 1);
     Submit(queue, 2);
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(actions.start == std::vector<RequestId>{RequestId(3)});
   }
 
-  void HopelessDeadlineIsRefusedOnArrival() {
+  void UnmeetableDeadlineIsRefusedOnSubmission() {
     AdmissionQueue queue(Limits(1, 5), random_);
     Submit(queue, 1);
     const AdmissionActions actions =
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT(actions.refused[0].refusal.reason == RefusalReason::kDeadlineTooShort);
   }
 
-  void WaitingRequestIsRefusedWhenItBecomesHopeless() {
+  void WaitingRequestIsRefusedWhenItsDeadlineBecomesUnmeetable() {
     AdmissionQueue queue(Limits(1, 5), random_);
     Submit(queue, 1);
     queue.Submit({RequestId(2), now_ + milliseconds(300), 3}, now_);
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT(!queue.NextDeadline().has_value());
   }
 
-  void BrownOutKeepsRoomForTheUrgent() {
+  void BrownOutReservesCapacityForUrgentRequests() {
     AdmissionLimits limits = Limits(1, 4);
     limits.brown_out_enter = 0.6;
     limits.brown_out_leave = 0.3;
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT(SubmitUnurgent(queue, 7).refused.empty());
   }
 
-  void DrainingTakesNothingButRunsWhatWaits() {
+  void DrainingRefusesNewRequestsAndRunsWaitingOnes() {
     AdmissionQueue queue(Limits(1, 1), random_);
     Submit(queue, 1);
     Submit(queue, 2);
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.Finish(RequestId(1), true, now_).start.size());
   }
 
-  void StreamsHoldNoSlotAndAreBounded() {
+  void StreamsUseNoSlotAndAreBounded() {
     AdmissionQueue queue(Limits(1, 0), random_);
     CPPUNIT_ASSERT(!queue.OpenStream(RequestId(1)).has_value());
     CPPUNIT_ASSERT(!queue.OpenStream(RequestId(2)).has_value());
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT(!queue.OpenStream(RequestId(5)).has_value());
   }
 
-  void ShrunkQueueRefusesTheSurplus() {
+  void ShrunkQueueRefusesTheExcess() {
     AdmissionQueue queue(Limits(1, 3), random_);
     for (std::uint64_t id = 1; id <= 4; ++id) {
       Submit(queue, id);
--- a/libs/requests/tests/at_most_once_test.cpp
+++ b/libs/requests/tests/at_most_once_test.cpp
@@ -19,14 +19,14 @@
 class AtMostOnceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AtMostOnceTest);
   CPPUNIT_TEST(KeyRunsOnceAndARepeatGetsItsAnswer);
-  CPPUNIT_TEST(RepeatWhileRunningIsToldSo);
-  CPPUNIT_TEST(KeyWithAnotherRequestIsRefused);
-  CPPUNIT_TEST(AnswerSurvivesTheOwner);
+  CPPUNIT_TEST(RepeatWhileRunningIsRefusedAsInProgress);
+  CPPUNIT_TEST(KeyReusedForAnotherRequestIsRefused);
+  CPPUNIT_TEST(AnswerSurvivesTheLossOfTheOwner);
   CPPUNIT_TEST(LostExecutorLeavesTheOutcomeUnknown);
-  CPPUNIT_TEST(SecondLossForgetsOlderKeysOnly);
+  CPPUNIT_TEST(SecondLossOnlyAffectsOlderKeys);
   CPPUNIT_TEST(FormerOwnerCannotRunAlone);
   CPPUNIT_TEST(RequestThatDidNotRunMayRunAgain);
-  CPPUNIT_TEST(UnansweredRequestIsGivenUpAtItsDeadline);
+  CPPUNIT_TEST(UnansweredRequestIsRefusedAtItsDeadline);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -49,21 +49,21 @@
     CPPUNIT_ASSERT_EQUAL(201, repeated_status_);
   }
 
-  void RepeatWhileRunningIsToldSo() {
+  void RepeatWhileRunningIsRefusedAsInProgress() {
     Begin(2, 1);
     Begin(3, 2);
     CPPUNIT_ASSERT(last_refusal_.reason == RefusalReason::kKeyInProgress);
     CPPUNIT_ASSERT(last_refusal_.outcome == RequestOutcome::kOutcomeUnknown);
   }
 
-  void KeyWithAnotherRequestIsRefused() {
+  void KeyReusedForAnotherRequestIsRefused() {
     Begin(2, 1);
     Begin(3, 2, /*fingerprint=*/99);
     CPPUNIT_ASSERT(last_refusal_.reason == RefusalReason::kKeyReused);
     CPPUNIT_ASSERT_EQUAL(1, runs_);
   }
 
-  void AnswerSurvivesTheOwner() {
+  void AnswerSurvivesTheLossOfTheOwner() {
     Begin(1, 1);  // owner and executor are one: the copy lies elsewhere
     Finish(1, 1, ExecutionState::kAnswered);
     agents_.erase(base::NodeId(1));
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT(last_refusal_.outcome == RequestOutcome::kOutcomeUnknown);
   }
 
-  void SecondLossForgetsOlderKeysOnly() {
+  void SecondLossOnlyAffectsOlderKeys() {
     Begin(2, 1);  // its record is held by 1, the owner, and 2, the executor
     agents_.erase(base::NodeId(1));
     agents_.erase(base::NodeId(2));
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT_EQUAL(2, runs_);
   }
 
-  void UnansweredRequestIsGivenUpAtItsDeadline() {
+  void UnansweredRequestIsRefusedAtItsDeadline() {
     cut_off_ = base::NodeId(1);
     Begin(2, 1);
     now_ += seconds(9);
--- a/libs/requests/tests/hand_over_test.cpp
+++ b/libs/requests/tests/hand_over_test.cpp
@@ -36,14 +36,14 @@
 class HandOverTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HandOverTest);
   CPPUNIT_TEST(ARequestRunsAtThePeerAndItsAnswerComesBack);
-  CPPUNIT_TEST(OnlyAPeerThatAnnouncedRoomIsAsked);
+  CPPUNIT_TEST(OnlyAPeerThatAnnouncedCapacityIsChosen);
   CPPUNIT_TEST(ARefusalLeavesTheRequestNotRun);
-  CPPUNIT_TEST(ANewLifeOfThePeerLeavesTheOutcomeUnknown);
+  CPPUNIT_TEST(ANewIncarnationOfThePeerLeavesTheOutcomeUnknown);
   CPPUNIT_TEST(ASilentPeerLeavesTheOutcomeUnknown);
   CPPUNIT_TEST(ALateRepeatOfAnEndedOfferRunsNothing);
-  CPPUNIT_TEST(AnOfferThatWasCancelledBeforeItCameRunsNothing);
+  CPPUNIT_TEST(AnOfferCancelledBeforeItArrivedRunsNothing);
   CPPUNIT_TEST(TheBetterOfTwoPeersIsChosen);
-  CPPUNIT_TEST(OnlyNeedMovesARequest);
+  CPPUNIT_TEST(OnlyDrainsAndLongWaitsCauseAHandOver);
   CPPUNIT_TEST(MalformedMessagesAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
@@ -120,7 +120,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, executor_->Executor().Size());
   }
 
-  void OnlyAPeerThatAnnouncedRoomIsAsked() {
+  void OnlyAPeerThatAnnouncedCapacityIsChosen() {
     CPPUNIT_ASSERT(Offer());
     HandOverActions actions;
     HandOverRequest second = MakeRequest(now_ + seconds(10));
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT(RefusalAtOrigin().retry_after == seconds(3));
   }
 
-  void ANewLifeOfThePeerLeavesTheOutcomeUnknown() {
+  void ANewIncarnationOfThePeerLeavesTheOutcomeUnknown() {
     CPPUNIT_ASSERT(Offer());
     Perform(kOrigin, origin_->SetTable(TableOf(base::Incarnation(8)), now_));
     CPPUNIT_ASSERT_EQUAL(RequestOutcome::kOutcomeUnknown, RefusalAtOrigin().outcome);
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, at_executor_.size());
   }
 
-  void AnOfferThatWasCancelledBeforeItCameRunsNothing() {
+  void AnOfferCancelledBeforeItArrivedRunsNothing() {
     HandOverActions offer;
     CPPUNIT_ASSERT(origin_->Origin().Offer(MakeRequest(now_ + seconds(10)),
                                            HandOverNeed::kCannotRunHere, now_, offer));
@@ -207,7 +207,7 @@
     CPPUNIT_ASSERT(chosen_busier > kChoices / 8 && chosen_busier < kChoices * 3 / 8);
   }
 
-  void OnlyNeedMovesARequest() {
+  void OnlyDrainsAndLongWaitsCauseAHandOver() {
     const HandOverLimits limits;
     LocalSituation situation;
     CPPUNIT_ASSERT(!FindHandOverNeed(situation, limits));
--- a/libs/requests/tests/request_pipeline_test.cpp
+++ b/libs/requests/tests/request_pipeline_test.cpp
@@ -20,11 +20,11 @@
   CPPUNIT_TEST(KeyOfARefusedRequestMayRunLater);
   CPPUNIT_TEST(UnsentRequestIsRetriedOnceWithinTheBudget);
   CPPUNIT_TEST(BrokenExchangeIsNeverRetried);
-  CPPUNIT_TEST(OverdueRequestIsGivenUpAtOnce);
-  CPPUNIT_TEST(AnswerThatHasBegunIsNotCutByItsDeadline);
+  CPPUNIT_TEST(OverdueRequestIsAbortedImmediately);
+  CPPUNIT_TEST(AnswerThatHasBegunIsNotAbortedByItsDeadline);
   CPPUNIT_TEST(CancelledKeyedRequestLeavesItsOutcomeUnknown);
   CPPUNIT_TEST(StreamOutlivesADrain);
-  CPPUNIT_TEST(AnswerThatIsAStreamGivesItsSlotBack);
+  CPPUNIT_TEST(AnswerThatIsAStreamReleasesItsSlot);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT(actions.start == std::vector<RequestId>{RequestId(2)});
   }
 
-  void OverdueRequestIsGivenUpAtOnce() {
+  void OverdueRequestIsAbortedImmediately() {
     AddRequest(1, 7);
     now_ += seconds(10);
     const PipelineActions actions = pipeline_->OnTimer(now_);
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pipeline_->Admission().RunningCount());
   }
 
-  void AnswerThatHasBegunIsNotCutByItsDeadline() {
+  void AnswerThatHasBegunIsNotAbortedByItsDeadline() {
     AddRequest(1);
     pipeline_->MarkAnswerBegun(RequestId(1));
     now_ += seconds(60);
@@ -128,7 +128,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pipeline_->Admission().StreamCount());
   }
 
-  void AnswerThatIsAStreamGivesItsSlotBack() {
+  void AnswerThatIsAStreamReleasesItsSlot() {
     AddRequest(1);
     CPPUNIT_ASSERT(AddRequest(2).start.empty());
     const PipelineActions actions = pipeline_->MarkAsStream(RequestId(1), now_);
--- a/libs/requests/tests/retry_budget_test.cpp
+++ b/libs/requests/tests/retry_budget_test.cpp
@@ -7,25 +7,25 @@
 
 class RetryBudgetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryBudgetTest);
-  CPPUNIT_TEST(RetriesAreAShareOfFirstTries);
-  CPPUNIT_TEST(QuietTimeSavesUpNoMoreThanTheBurst);
+  CPPUNIT_TEST(RetriesAreAShareOfFirstAttempts);
+  CPPUNIT_TEST(BudgetIsCappedAtTheBurst);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RetriesAreAShareOfFirstTries() {
+  void RetriesAreAShareOfFirstAttempts() {
     RetryBudget budget(0.125, 100);
     int retries = 0;
     for (int request = 0; request < 800; ++request) {
-      budget.OnFirstTry();
+      budget.OnFirstAttempt();
       retries += budget.TakeRetry() ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(100, retries);
   }
 
-  void QuietTimeSavesUpNoMoreThanTheBurst() {
+  void BudgetIsCappedAtTheBurst() {
     RetryBudget budget(0.5, 2);
     for (int request = 0; request < 1000; ++request) {
-      budget.OnFirstTry();
+      budget.OnFirstAttempt();
     }
     CPPUNIT_ASSERT(budget.TakeRetry());
     CPPUNIT_ASSERT(budget.TakeRetry());
