--- a/libs/flow/include/gaugevalve/flow/flow_core.h
+++ b/libs/flow/include/gaugevalve/flow/flow_core.h
@@ -1,4 +1,4 @@
-// The agent's decision core for `datagram` services.
+// Decision core of an agent for `datagram` services.
 #pragma once
 
 #include <cstddef>
@@ -20,26 +20,26 @@
 
 namespace gaugevalve::flow {
 
-// All limits of a FlowCore.
+// Settings of a FlowCore.
 struct FlowCoreSettings {
   OwnershipSettings ownership;
   FlowTableSettings table;
   SourceLimiterSettings source_limit;
 };
 
-// What the settings tree may change while the agent runs.
+// Limits that the settings tree may change while the agent runs.
 struct FlowLimits {
   FlowTableSettings table;
-  std::uint32_t new_flows_per_source = 0;  // a second; 0 is "no limit"
+  std::uint32_t new_flows_per_source = 0;  // per second; 0 means no limit
 };
 
-// Give the payload to the endpoint as part of this flow.
+// Relay the payload to the endpoint as part of this flow.
 struct Relay {
   FlowId flow;
   bool is_new = false;  // the flow was opened by this datagram
 };
 
-// Send the datagram to another agent, with the header as the core has changed it.
+// Send the datagram to another agent with the modified header.
 struct PassOn {
   base::SocketAddress next_hop;
 };
@@ -47,39 +47,39 @@
 // What to do with one datagram.
 using FlowAction = std::variant<Relay, PassOn, DropReason>;
 
-// Decides about each datagram that reaches the agent. Pure and not thread-safe; memory is bounded
-// by the number of buckets and the flow table's capacity.
+// Decides on each datagram that reaches the agent. No I/O; not thread-safe. Memory is bounded by
+// the number of buckets and the capacity of the flow table.
 class FlowCore {
  public:
   FlowCore(const AgentIdentity& identity, const FlowCoreSettings& settings);
 
-  // Takes a newer table of the agent's service; see BucketOwnership::UpdateTable().
+  // Applies a newer table of the agent's service; see BucketOwnership::UpdateTable().
   void UpdateTable(const routing::BucketTable& table, base::TimePoint confirmed_at);
 
-  // Goes by these limits from now on; open flows stay open.
+  // Applies new limits; open flows stay open.
   void SetLimits(const FlowLimits& limits);
 
-  // Decides about a datagram; the header is changed where it is to be passed on.
+  // Decides on a datagram; the header is modified if the datagram is to be passed on.
   FlowAction Decide(const wire::FlowKey& key, wire::ForwardingHeader& header, base::TimePoint now);
 
-  // Notes that the endpoint sent something in the flow.
+  // Records that the endpoint sent data in the flow.
   void NoteAnswer(FlowId flow, base::TimePoint now) { table_.Touch(flow, now); }
 
   // Closes idle flows and returns them.
   std::vector<FlowId> CloseIdle(base::TimePoint now) { return table_.CloseIdle(now); }
 
-  // Closes idle flows as well, and notes that the agent runs: by the gap between two calls it knows
-  // that it was frozen. Once called, call it a few times a second.
+  // Closes idle flows and records that the agent is running. A gap between two calls shows that the
+  // agent was frozen, so once it has been called, call it a few times per second.
   std::vector<FlowId> Tick(base::TimePoint now);
 
-  // Closes an open flow, say when its socket fails.
+  // Closes an open flow, for example when its socket fails.
   void Close(FlowId flow) { table_.Close(flow); }
 
-  // Keeps what is open and opens nothing that another agent could open.
+  // Keeps open flows and opens no flow that another agent could open.
   void StartDraining(base::TimePoint now) { ownership_.StartDraining(now); }
 
-  // Fills in what the planner must know of flows: identity, state, table version, counts. The rest
-  // of the report is the caller's.
+  // Fills in the parts of the report that concern flows: identity, state, table version and counts.
+  // The caller fills in the rest.
   void FillReport(routing::AgentReport& report) const;
 
   const FlowTable& Flows() const { return table_; }
--- a/libs/flow/include/gaugevalve/flow/flow_table.h
+++ b/libs/flow/include/gaugevalve/flow/flow_table.h
@@ -1,4 +1,4 @@
-// The flows that an agent has open: a bounded table with idle expiry.
+// Open flows of an agent: a bounded table with idle expiry.
 #pragma once
 
 #include <cstddef>
@@ -15,47 +15,47 @@
 
 namespace gaugevalve::flow {
 
-// Names an open flow, in [0, capacity). Used again for another flow once this one is closed.
+// Identifier of an open flow, in [0, capacity). Reused for another flow after this one is closed.
 using FlowId = base::StrongId<struct FlowIdTag, std::uint32_t>;
 
 // Limits of the table.
 struct FlowTableSettings {
-  std::size_t capacity = 2000;  // flows at once; more are refused
+  std::size_t capacity = 2000;  // concurrent flows; more are refused
   base::Duration idle_timeout = std::chrono::minutes(5);
 };
 
-// Holds at most `capacity` flows; when full it refuses and keeps what it has, since an open flow is
-// worth more than a new one. Memory is taken for the largest capacity so far. Pure and not
-// thread-safe.
+// Holds at most `capacity` flows. When full it refuses new flows and keeps the open ones, because
+// an open flow is worth more than a new one. Memory is allocated for the largest capacity so far.
+// No I/O; not thread-safe.
 class FlowTable {
  public:
   explicit FlowTable(const FlowTableSettings& settings);
 
-  // Goes by other limits from now on. With more flows open than the new capacity all stay open.
+  // Applies new limits. If more flows are open than the new capacity allows, all stay open.
   void SetLimits(const FlowTableSettings& settings);
 
-  // Returns the open flow with this key.
+  // Returns the open flow with this key, if there is one.
   std::optional<FlowId> Find(const wire::FlowKey& key) const;
 
-  // Opens a flow, which must not be open, under the bucket entry of version `confirmed`; nothing
-  // when the table is full.
+  // Opens a flow, which must not be open, under the bucket entry of version `confirmed`. Returns
+  // nothing if the table is full.
   std::optional<FlowId> Open(const wire::FlowKey& key, base::BucketIndex bucket,
                              const routing::TableVersion& confirmed, base::TimePoint now);
 
-  // Notes that the flow was used at `now`, which mustn't be before an earlier use.
+  // Records that the flow was used at `now`, which must not be before an earlier use.
   void Touch(FlowId flow, base::TimePoint now);
 
   // Closes an open flow.
   void Close(FlowId flow);
 
-  // Closes the flows that haven't been used for the idle timeout and returns them.
+  // Closes the flows that have not been used for the idle timeout and returns them.
   std::vector<FlowId> CloseIdle(base::TimePoint now);
 
-  // Facts about an open flow.
+  // Properties of an open flow.
   const wire::FlowKey& Key(FlowId flow) const { return entries_[flow.value()].key; }
   base::BucketIndex Bucket(FlowId flow) const { return entries_[flow.value()].bucket; }
 
-  // The version of the bucket's entry under which the flow was last known to be only here.
+  // Version of the bucket's entry under which the flow was last known to be open only here.
   const routing::TableVersion& Confirmed(FlowId flow) const {
     return entries_[flow.value()].confirmed;
   }
@@ -63,7 +63,7 @@
     entries_[flow.value()].confirmed = version;
   }
 
-  // Returns how many flows are open, in all and in each of the first `bucket_count` buckets.
+  // Number of open flows, in total and in each of the first `bucket_count` buckets.
   std::size_t Size() const { return by_key_.size(); }
   std::vector<std::uint32_t> CountByBucket(std::size_t bucket_count) const;
 
--- a/libs/flow/src/bucket_ownership.cpp
+++ b/libs/flow/src/bucket_ownership.cpp
@@ -67,7 +67,7 @@
   }
   const bool on_walk = header.walk != wire::ChainWalk::kNotStarted;
   if (on_walk && header.entry.version == known.version) {
-    return std::nullopt;  // the walk goes on along the list on which it began
+    return std::nullopt;  // the walk continues along the chain on which it began
   }
   header.entry = known;
   header.walk = wire::ChainWalk::kNotStarted;
@@ -100,7 +100,7 @@
   return passes_on && hops_are_spent ? Drop(DropReason::kHopLimit) : decision;
 }
 
-// At the owner: asks the first previous owner, or decides when there is none.
+// At the owner: forwards to the first previous owner, or decides if there is none.
 OwnershipDecision BucketOwnership::StartWalk(
     wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held_version,
     base::TimePoint now) const {
@@ -115,14 +115,14 @@
   return ForwardTo(*first, header);
 }
 
-// At a previous owner: enters its claim and asks the next one; the last one ends the walk.
+// At a previous owner: adds its claim and forwards to the next one; the last one ends the walk.
 OwnershipDecision BucketOwnership::ContinueWalk(
     wire::ForwardingHeader& header,
     const std::optional<routing::TableVersion>& held_version) const {
   const auto& chain = header.entry.previous_owners;
   const auto self =
       std::find_if(chain.begin(), chain.end(), [this](const auto& agent) { return IsSelf(agent); });
-  if (self == chain.end()) {  // not a stop of this walk
+  if (self == chain.end()) {  // this agent is not on the chain
     return ForwardToOwner(header);
   }
   const bool is_claimed = header.claim.holder != base::NodeId();
@@ -136,7 +136,7 @@
   return header.claim.holder == identity_.node ? Serve(true) : ForwardToClaimHolder(header);
 }
 
-// Where a walk ended: at the agent whose claim is the best, or at the owner when there is none.
+// At the end of a walk: at the agent with the best claim, or at the owner if there is no claim.
 OwnershipDecision BucketOwnership::EndWalk(wire::ForwardingHeader& header,
                                            const std::optional<routing::TableVersion>& held_version,
                                            base::TimePoint now) const {
@@ -149,7 +149,7 @@
   if (is_owner && !is_claimed && !held_version) {
     return OpenOrRefuse(header.entry, now);
   }
-  // The claim_holder has closed the flow since, or the datagram has gone astray: ask anew.
+  // The claim holder has closed the flow since, or the datagram was misdirected: restart the walk.
   return is_owner ? StartWalk(header, held_version, now) : ForwardToOwner(header);
 }
 
--- a/libs/flow/tests/bucket_ownership_test.cpp
+++ b/libs/flow/tests/bucket_ownership_test.cpp
@@ -17,7 +17,7 @@
 
 base::NodeId Node(int number) { return base::NodeId(static_cast<std::uint64_t>(number)); }
 
-// A table of agents 1 to 4, all started at incarnation 10, whose buckets are all alike.
+// A table of agents 1 to 4, all started at incarnation 10, with identical buckets.
 routing::BucketTable MakeTable(std::uint32_t sequence, int owner, const std::vector<int>& chain) {
   routing::BucketTable table;
   table.service = kService;
@@ -35,7 +35,7 @@
   return table;
 }
 
-// The header of a balancer that has this table.
+// The header that a balancer with this table creates.
 wire::ForwardingHeader FromBalancer(const routing::BucketTable& table) {
   wire::ForwardingHeader header;
   header.service = kService;
@@ -46,7 +46,7 @@
   return header;
 }
 
-// An agent with a table, at a standing time.
+// An agent with a table that was confirmed at time 0.
 class Agent {
  public:
   Agent(int number, const routing::BucketTable& table)
@@ -54,8 +54,8 @@
     ownership_.UpdateTable(table, base::TimePoint());
   }
 
-  // Returns "serve", "open", "pass:PORT" or the reason for the drop.
-  // `held_version` is the version under which the agent has the flow confirmed; 0 is "not at all".
+  // Returns "serve", "open", "pass:PORT" or the drop reason. `held_version` is the version under
+  // which the agent has the flow confirmed; 0 means that it does not have the flow.
   std::string Decide(wire::ForwardingHeader& header, std::uint32_t held_version = 0,
                      base::Duration age = base::Duration(0)) {
     if (const auto reason = ownership_.ReconcileEntry(header, kFlowHash)) {
--- a/libs/flow/tests/flow_core_test.cpp
+++ b/libs/flow/tests/flow_core_test.cpp
@@ -102,7 +102,7 @@
     return {{Node(1), base::Incarnation(1), kService}, settings};
   }
 
-  // The header of a balancer that knows nothing but the flow's bucket and this agent.
+  // The header of a balancer that knows only the flow's bucket and this agent.
   static wire::ForwardingHeader Header(const FlowCore& core, const wire::FlowKey& key) {
     wire::ForwardingHeader header;
     header.service = kService;
--- a/libs/flow/tests/source_limiter_test.cpp
+++ b/libs/flow/tests/source_limiter_test.cpp
@@ -20,7 +20,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Returns how many of `attempts` new flows are allowed at `now`; every one has its own port.
+  // Returns how many of `attempts` new flows, each from a different port, are allowed at `now`.
   static int CountAllowed(SourceLimiter& limiter, std::uint32_t source, int attempts,
                           base::TimePoint now) {
     int allowed = 0;
--- a/libs/requests/include/gaugevalve/requests/admission_queue.h
+++ b/libs/requests/include/gaugevalve/requests/admission_queue.h
@@ -1,4 +1,4 @@
-// Which requests run at an endpoint now, which wait, and which are refused at once.
+// Decides which requests run at an endpoint, which wait and which are refused.
 #pragma once
 
 #include <cstddef>
@@ -16,89 +16,94 @@
 
 namespace gaugevalve::requests {
 
-// One request at one agent. Never reused in the life of the agent's process.
+// One request at one agent. Not reused while the agent's process runs.
 using RequestId = base::StrongId<struct RequestIdTag, std::uint64_t>;
 
-// What an endpoint takes, from the settings tree.
+// Capacity of an endpoint, from the settings tree.
 struct AdmissionLimits {
-  std::uint32_t slots = 1;         // requests at the endpoint at once; 0 means "none now"
+  std::uint32_t slots = 1;         // concurrent requests at the endpoint; 0 means "none now"
   std::uint32_t queue_length = 0;  // requests that may wait
-  std::uint32_t streams = 0;       // long-lived event streams open at once
+  std::uint32_t streams = 0;       // concurrent long-lived event streams
   double brown_out_enter = 1.0;    // share of slots and queue in use that starts a brown-out
-  double brown_out_leave = 1.0;    // share that ends it; at most brown_out_enter
-  std::uint8_t brown_out_urgency = kDefaultUrgency;  // in a brown-out: this or more urgent
-  base::Duration expected_service_time{100'000};     // used until measured
+  double brown_out_leave = 1.0;    // share below which it ends; at most brown_out_enter
+  std::uint8_t brown_out_urgency = kDefaultUrgency;  // least urgent value admitted in a brown-out
+  base::Duration expected_service_time{100'000};     // used until a service time has been measured
 };
 
-// What admission needs to know of a request.
+// The properties of a request that admission depends on.
 struct AdmissionRequest {
   RequestId id;
   base::TimePoint deadline;
   std::uint8_t urgency = kDefaultUrgency;  // RFC 9218
 };
 
-// A request that is refused. Its caller is to be told at once.
+// A refused request. Its caller must be told immediately.
 struct RefusedRequest {
   RequestId id;
   Refusal refusal;
 };
 
-// What changed by one event: start these, in this order, and refuse those.
+// Result of one event: requests to start, in this order, and refused requests.
 struct AdmissionActions {
   std::vector<RequestId> start;
   std::vector<RefusedRequest> refused;
 };
 
-// Decides on requests for one endpoint. The waiting ones are ordered by urgency, then by deadline.
-// A request is refused as soon as it can't finish in time by what is known, never later: holding it
-// would cost its caller the time to go elsewhere. A full queue gives up its last request for one
-// that goes before it. Memory is bounded by slots + queue_length + streams.
+// Admission control for one endpoint. Waiting requests are ordered by urgency, then by deadline. A
+// request is refused as soon as its estimated completion is past its deadline, because holding it
+// any longer would cost its caller the time to try elsewhere. When the queue is full, a new request
+// that takes precedence displaces the last one. Memory is bounded by slots + queue_length +
+// streams.
 //
-// Not thread-safe; the owner passes the time in. Nothing refused here has reached an endpoint.
+// Not thread-safe; the owner passes in the time. A request refused here has not reached an
+// endpoint.
 class AdmissionQueue {
  public:
   // `random` spreads the Retry-After hints and must outlive the queue.
   AdmissionQueue(const AdmissionLimits& limits, base::RandomSource& random);
 
-  // Takes a request with a bounded answer. Its id must be new.
+  // Submits a request with a bounded answer. Its id must be new.
   AdmissionActions Submit(const AdmissionRequest& request, base::TimePoint now);
 
-  // Takes a long-lived event stream, which holds no slot. Returns the refusal, or nothing.
+  // Admits a long-lived event stream, which uses no slot. Returns the refusal, or nothing if the
+  // stream was admitted.
   std::optional<Refusal> OpenStream(RequestId id);
 
-  // Counts a stream that is open already, also above the limit: it can't be refused any more.
+  // Counts a stream that is already open, even above the limit, because it can no longer be
+  // refused.
   void AddStream(RequestId id) { streams_.insert(id); }
 
-  // Ends a stream that OpenStream() took.
+  // Ends a stream that OpenStream() or AddStream() counted.
   void CloseStream(RequestId id);
 
-  // A started request ended. `counts_as_sample` is false for one that the endpoint refused or that
-  // was cut short: its time says nothing of the service time.
+  // Notes that a started request ended. `counts_as_sample` is false for a request that the endpoint
+  // refused or that was aborted, because its duration says nothing about the service time.
   AdmissionActions Finish(RequestId id, bool counts_as_sample, base::TimePoint now);
 
-  // The caller of a waiting request gave it up. Returns false when it isn't waiting.
+  // Removes a waiting request that its caller cancelled. Returns false if it is not waiting.
   bool CancelWaiting(RequestId id);
 
-  // Refuses what can't finish in time any more. Call at NextDeadline().
+  // Refuses requests that can no longer finish before their deadline. Call at NextDeadline().
   AdmissionActions OnTimer(base::TimePoint now);
 
-  // Returns when the next waiting request is to be given up; nothing when none waits.
+  // Returns the time at which the next waiting request can no longer meet its deadline; nothing if
+  // none waits.
   std::optional<base::TimePoint> NextDeadline() const;
 
-  // Takes new limits; what is started goes on, what no longer fits in the queue is refused.
+  // Applies new limits. Started requests continue; waiting requests that no longer fit are refused.
   AdmissionActions SetLimits(const AdmissionLimits& limits, base::TimePoint now);
 
-  // Takes no new request from now on, or again; what waits still runs.
+  // Starts or stops refusing new requests. Waiting requests still run.
   void SetDraining(bool draining) { draining_ = draining; }
 
   std::size_t RunningCount() const { return running_.size(); }
   std::size_t WaitingCount() const { return waiting_.size(); }
   std::size_t StreamCount() const { return streams_.size(); }
 
-  // Returns the smoothed time of an answer at the endpoint.
+  // Returns the smoothed service time of the endpoint.
   base::Duration ServiceTime() const { return service_time_; }
 
-  // Returns how long a request that came now would wait for a slot.
+  // Returns the estimated time that a request submitted now would wait for a slot.
   base::Duration EstimatedWait() const { return EstimatedWaitAt(waiting_.size()); }
 
  private:
@@ -119,8 +124,8 @@
   bool draining_ = false;
   bool in_brown_out_ = false;
   base::Duration service_time_;
-  std::vector<AdmissionRequest> waiting_;                   // in order of start
-  std::unordered_map<RequestId, base::TimePoint> running_;  // with the time of their start
+  std::vector<AdmissionRequest> waiting_;                   // in the order in which they will start
+  std::unordered_map<RequestId, base::TimePoint> running_;  // with their start times
   std::unordered_set<RequestId> streams_;
 };
 
--- a/libs/requests/include/gaugevalve/requests/at_most_once.h
+++ b/libs/requests/include/gaugevalve/requests/at_most_once.h
@@ -1,22 +1,25 @@
-// Keeps a keyed request to one execution in a whole service.
+// Ensures that a keyed request is executed at most once in a service.
 //
-// The owner of the bucket that a key falls into (routing::BucketTable) decides who runs it. Before
-// a request runs, two agents hold its record: the owner and the executor or, where these are one,
-// the owner and another agent. An agent that becomes owner first collects what every other agent of
-// the table knows of the bucket. Others answer under a table at least as new, so one that has
-// answered takes part in no grant under an older version. So any earlier grant is either among what
-// was collected, or is refused by its second participant. A former owner that wakes up can't grant
-// alone.
+// The owner of the bucket that a key hashes to (routing::BucketTable) decides which agent runs it.
+// Before a request runs, two agents hold its record: the owner and the executor or, if these are
+// the same agent, the owner and another agent. An agent that becomes owner first collects the
+// records of the bucket from every other agent in the table. An agent answers only under a table at
+// least as new as the owner's, and once it has answered it takes part in no grant under an older
+// version. Any earlier grant is therefore either among the collected records or is refused by its
+// second participant. A former owner that resumes after a pause cannot grant alone.
 //
-// One lost agent loses no record. When a second is lost before the copies are restored, what was
-// recorded before is taken as forgotten: a key that may have been used then is answered "outcome
-// unknown", never run. A key that carries its time (UUID version 7) tells that it is newer.
+// Losing one agent loses no record. If a second agent is lost before the copies are restored, all
+// records from before are treated as lost: a key that may have been used before then is answered
+// with "outcome unknown" and never run. A key that contains its creation time (UUID version 7)
+// shows that it is newer.
 //
-// What it can't promise: copies that can't be restored within `restore_time` (messages between live
-// agents lost all that time, or a frozen agent left in the table) are not counted as a loss by
-// others; clocks further apart than `clock_margin` defeat the time in a key;
-// a key without a time that comes again after the window counts as new; a service with one agent
-// forgets with it.
+// Limits of the guarantee:
+// - Copies that cannot be restored within `restore_time` (because all messages between live agents
+//   were lost for that time, or because a frozen agent stayed in the table) are not counted as lost
+//   by other agents.
+// - If clocks differ by more than `clock_margin`, the time in a key is not reliable.
+// - A key without a time that is repeated after the window counts as new.
+// - A service with a single agent loses all records when that agent is lost.
 #pragma once
 
 #include <cstdint>
@@ -39,12 +42,12 @@
 class BucketCollections;
 class HistoryCompleteness;
 
-// The mechanisms of the guarantee. All are on; a proof switches one off to show that it would
-// notice.
+// The mechanisms that provide the guarantee. All are enabled; the proof disables one at a time to
+// show that it detects the fault.
 struct AtMostOnceMechanisms {
-  bool copy_before_running = true;      // an owner that executes itself waits for a second holder
-  bool collect_before_deciding = true;  // a new owner asks all others first
-  bool answer_only_with_table = true;   // others answer that under a table at least as new
+  bool copy_before_running = true;      // an owner that is the executor waits for a second holder
+  bool collect_before_deciding = true;  // a new owner first queries all other agents
+  bool answer_only_with_table = true;   // an agent answers only under a table at least as new
   bool forget_after_second_loss = true;
   bool restore_copies = true;
 };
@@ -53,20 +56,20 @@
 struct AtMostOnceLimits {
   base::Duration window{600'000'000};    // how long a key is remembered
   std::size_t record_capacity = 40'000;  // keys remembered; a new one is refused when full
-  std::size_t pending_capacity = 4'096;  // requests awaiting a grant; more are refused
+  std::size_t pending_capacity = 4'096;  // requests waiting for a grant; more are refused
   base::Duration freshness{3'000'000};   // an owner grants this long after its table was confirmed
-  base::Duration restore_time{30'000'000};  // in which copies are restored after a loss
-  base::Duration resend_interval{100'000};  // between repeats of an unanswered message
+  base::Duration restore_time{30'000'000};  // time within which copies are restored after a loss
+  base::Duration resend_interval{100'000};  // between retransmissions of an unanswered message
   AtMostOnceMechanisms mechanisms;
-  base::Duration clock_margin{1'000'000};  // how far clocks may be apart
+  base::Duration clock_margin{1'000'000};  // maximum difference between clocks
 };
 
-// A keyed request of this agent that wants to run.
+// A keyed request that this agent asks permission to run.
 struct KeyedRequest {
   RequestId id;
   KeyDigest key;
   std::uint64_t fingerprint = 0;
-  std::optional<base::Duration> key_created_at;  // since the Unix epoch, by the time in the key
+  std::optional<base::Duration> key_created_at;  // since the Unix epoch, from the time in the key
   base::TimePoint deadline;
 };
 
@@ -76,63 +79,66 @@
   proto::AtMostOnceMessage message;
 };
 
-// A request whose answer is known from an earlier execution.
+// A request that is answered from the record of an earlier execution.
 struct RepeatedRequest {
   RequestId id;
   StoredAnswer answer;
 };
 
-// What is to be done after one event.
+// The actions that result from one event.
 struct AtMostOnceActions {
   std::vector<OutgoingMessage> send;
-  std::vector<RequestId> run;  // each is handed out once; Finish() must follow
+  std::vector<RequestId> run;  // each appears once; Finish() must follow
   std::vector<RefusedRequest> refused;
   std::vector<RepeatedRequest> repeated;
 };
 
-// One agent's part in the protocol. Messages may be lost, doubled, delayed and reordered. Not
+// One agent's side of the protocol. Messages may be lost, duplicated, delayed and reordered. Not
 // thread-safe; the owner passes in the time.
 class AtMostOnce {
  public:
-  // `self` is this life of this agent; `now` its start, which is `wall_time` since the Unix epoch.
-  // Keys' times are compared on every agent's own clock, so that a message's delay can't make a key
-  // look younger; `clock_margin` bounds how far the clocks of callers and agents are apart.
+  // `self` and `incarnation` identify this agent; `now` is its start time, which is `wall_time`
+  // since the Unix epoch. Each agent compares the times in keys with its own clock, so that the
+  // delay of a message cannot make a key look newer. `clock_margin` bounds the difference between
+  // the clocks of callers and agents.
   AtMostOnce(base::NodeId self, base::Incarnation incarnation, const AtMostOnceLimits& limits,
              base::TimePoint now, base::Duration wall_time);
   ~AtMostOnce();
   AtMostOnce(AtMostOnce&&) noexcept;
   AtMostOnce& operator=(AtMostOnce&&) = delete;
 
-  // Takes a newer table of the service; older ones are passed over. `confirmed_at` is when this
+  // Applies a newer table of the service; older tables are ignored. `confirmed_at` is when this
   // node sent the last report that the planner acknowledged.
   AtMostOnceActions SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                              base::TimePoint confirmed_at, base::TimePoint now);
 
-  // A keyed request wants to run. Its fate follows in these or later actions.
+  // Requests permission to run a keyed request. The result is in these or later actions.
   AtMostOnceActions Begin(const KeyedRequest& request, base::TimePoint now);
 
-  // A request that was handed out to run ended. `state` must not be kGranted.
+  // Records the end of a request that was returned in `run`. `state` must not be kGranted.
   AtMostOnceActions Finish(RequestId id, ExecutionState state, const StoredAnswer& answer,
                            base::TimePoint now);
 
-  // The caller gave up a request that isn't handed out yet. Does nothing for another.
+  // Cancels a request that has not been returned in `run` yet. Does nothing for other requests.
   AtMostOnceActions Abandon(RequestId id, base::TimePoint now);
 
-  // Takes a message of another agent; malformed ones are passed over.
+  // Handles a message from another agent; malformed messages are ignored.
   AtMostOnceActions OnMessage(base::NodeId sender, const proto::AtMostOnceMessage& message,
                               base::TimePoint now);
 
-  // Resends, gives up and forgets as due. Call about every resend_interval.
+  // Retransmits messages, refuses overdue requests and expires records. Call about every
+  // resend_interval.
   AtMostOnceActions OnTimer(base::TimePoint now);
 
-  // Returns whether this agent may decide on keys of the bucket now.
+  // Returns whether this agent owns the bucket, has collected all its records and may decide on its
+  // keys now.
   bool IsSettledOwner(base::BucketIndex bucket, base::TimePoint now) const;
 
-  // Returns whether a key made now would be known as new here.
+  // Returns whether this agent can tell that a key created now has not been used.
   bool RemembersNewKeys(base::TimePoint now) const;
 
-  // Returns whether this agent still collects records or restores copies: until it doesn't, a loss
-  // may be one too many.
+  // Returns whether this agent is still collecting records or restoring copies. While it is, the
+  // loss of one more agent may lose records.
   bool IsRestoring() const;
 
   std::size_t RecordCount() const { return records_.Size(); }
@@ -149,7 +155,7 @@
     base::TimePoint resend_at{};
   };
 
-  // A copy that is being restored after its holder was lost.
+  // A copy that is being restored after the loss of its holder.
   struct Restoration {
     base::NodeId holder;
     base::TimePoint resend_at{};
@@ -221,11 +227,11 @@
   std::vector<routing::TableVersion> acknowledged_;  // by bucket
   ExecutionRecordTable records_;
   absl::flat_hash_map<RequestId, Pending> pending_;
-  absl::flat_hash_map<std::uint64_t, RequestId> by_grant_;  // the pending ones' grant numbers
+  absl::flat_hash_map<std::uint64_t, RequestId> by_grant_;  // grant numbers of the pending requests
   absl::flat_hash_map<KeyDigest, Restoration> restorations_;
   std::unique_ptr<BucketCollections> collections_;
   std::unique_ptr<HistoryCompleteness> completeness_;
-  base::TimePoint unix_epoch_;  // on our time line
+  base::TimePoint unix_epoch_;  // as a time point of the agent's monotonic clock
   std::uint64_t next_grant_ = 1;
 };
 
--- a/libs/requests/include/gaugevalve/requests/execution_record_table.h
+++ b/libs/requests/include/gaugevalve/requests/execution_record_table.h
@@ -1,4 +1,4 @@
-// An agent's bounded memory of idempotency keys.
+// Bounded table of the idempotency keys that an agent remembers.
 #pragma once
 
 #include <cstddef>
@@ -10,23 +10,25 @@
 
 namespace gaugevalve::requests {
 
-// Records by key. A record is forgotten when it is older than the window, never before: when the
-// table is full a new one is refused, so what is remembered is known. Not thread-safe.
+// Execution records by key. A record expires only when it is older than the window. When the table
+// is full, new records are refused and none is evicted, so the table is complete for its window.
+// Not thread-safe.
 class ExecutionRecordTable {
  public:
-  // `window` is how long a key is remembered; `capacity` the most records held.
+  // `window` is how long a key is remembered; `capacity` is the maximum number of records.
   ExecutionRecordTable(base::Duration window, std::size_t capacity);
 
-  // Returns the record, or null when none is held. Valid until the next call that adds or expires.
+  // Returns the record, or null if there is none. The pointer is valid until the next Put() or
+  // Expire().
   ExecutionRecord* Find(const KeyDigest& key);
 
   // Adds or replaces the record of a key. Returns false, changing nothing, when the table is full.
   bool Put(const ExecutionRecord& record);
 
-  // Forgets what is older than the window.
+  // Removes records that are older than the window.
   void Expire(base::TimePoint now);
 
-  // Calls `change` with each record; it may change all but the key and the age.
+  // Calls `change` with each record. It may modify everything except the key and first_recorded_at.
   template <class Change>
   void ForEach(const Change& change) {
     for (auto& [key, record] : records_) {
@@ -50,7 +52,8 @@
   base::Duration Window() const { return window_; }
 
  private:
-  // When a key was first recorded; older entries of a re-recorded key are passed over.
+  // Time at which a key was first recorded. Outdated entries of a key that was recorded again are
+  // skipped.
   struct Age {
     base::TimePoint recorded_at;
     KeyDigest key;
--- a/libs/requests/include/gaugevalve/requests/frame_receiver.h
+++ b/libs/requests/include/gaugevalve/requests/frame_receiver.h
@@ -1,4 +1,4 @@
-// The receiving end of one direction of a hand-over: takes frames once and in order.
+// Receiver of one direction of a hand-over: accepts each frame once and in order.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,17 @@
 
 namespace gaugevalve::requests {
 
-// Holds no frame: one that doesn't come next is dropped, and its sender goes back. Gives credit for
-// kWindowFrames ahead unless paused. Not thread-safe.
+// Buffers no frames: a frame that is out of order is dropped, and its sender goes back to it.
+// Grants credit for kWindowFrames beyond the next expected frame unless paused. Not thread-safe.
 class FrameReceiver {
  public:
   // `check_sequence` is HandOverMechanisms::check_sequence.
   explicit FrameReceiver(bool check_sequence) : check_sequence_(check_sequence) {}
 
-  // Returns whether the frame with this sequence is to be taken now.
+  // Returns whether the frame with this sequence number is accepted.
   bool Accept(std::uint64_t sequence);
 
-  // Gives no more credit from now on, or again. What has credit may still come.
+  // Stops or resumes granting credit. Frames within the credit granted so far may still arrive.
   void SetPaused(bool is_paused);
 
   proto::HandOverAcknowledgement Acknowledgement() const;
--- a/libs/requests/include/gaugevalve/requests/frame_sender.h
+++ b/libs/requests/include/gaugevalve/requests/frame_sender.h
@@ -1,4 +1,4 @@
-// The sending end of one direction of a hand-over: frames in order, kept until acknowledged.
+// Sender of one direction of a hand-over: keeps frames in order until they are acknowledged.
 #pragma once
 
 #include <cstddef>
@@ -13,35 +13,35 @@
 
 namespace gaugevalve::requests {
 
-// Sends within the receiver's credit and goes back to the first unacknowledged frame when nothing
-// moved for a while (go-back-N), so that lost messages only cost time. What waits is bounded by the
-// one who pushes, who stops while HasRoom() is false. Not thread-safe.
+// Sends within the receiver's credit. When nothing is acknowledged for a while, it resends from the
+// first unacknowledged frame (go-back-N), so that a lost message only costs time. The caller bounds
+// the buffer by not pushing while HasRoom() is false. Not thread-safe.
 class FrameSender {
  public:
-  // `credit` frames may be sent before the receiver says anything. The pause between repeats
-  // doubles from `resend_interval` up to `max_interval`.
+  // `credit` frames may be sent before the first acknowledgement. The interval between
+  // retransmissions doubles from `resend_interval` up to `max_interval`.
   FrameSender(std::uint64_t credit, base::Duration resend_interval, base::Duration max_interval);
 
-  // Adds a frame; its sequence is set here.
+  // Appends a frame and sets its sequence number.
   void Push(proto::HandOverFrame frame);
 
-  // Adds body bytes, in chunks of at most kMaxChunkBytes.
+  // Appends body bytes in chunks of at most kMaxChunkBytes.
   void PushBytes(std::string_view bytes);
 
-  // Takes what the receiver said; stale and impossible ones are passed over.
+  // Handles an acknowledgement; outdated and impossible ones are ignored.
   void OnAcknowledgement(const proto::HandOverAcknowledgement& message, base::TimePoint now);
 
-  // Returns the frames to send now: new ones, and those whose repeat is due.
+  // Returns the frames to send now: new frames, and frames that are due for retransmission.
   std::vector<proto::HandOverFrame> TakeDue(base::TimePoint now);
 
-  // Starts over towards another receiver, which gives credit anew. Only while
+  // Restarts from the first frame for another receiver, with the initial credit. Call only while
   // HasNothingAcknowledged().
   void Rewind();
 
-  // Returns whether nothing was acknowledged: all that was pushed is still here.
+  // Returns whether no frame was acknowledged, so that all frames are still available.
   bool HasNothingAcknowledged() const { return first_ == 0; }
   bool HasRoom() const { return frames_.size() < kWindowFrames; }
-  // Returns whether all that was pushed is acknowledged.
+  // Returns whether all frames are acknowledged.
   bool IsDrained() const { return frames_.empty(); }
   std::size_t Size() const { return frames_.size(); }
 
@@ -52,8 +52,8 @@
   base::Duration max_interval_;
   base::Duration interval_;
   std::deque<proto::HandOverFrame> frames_;
-  std::uint64_t first_ = 0;  // sequence of frames_.front()
-  std::size_t sent_ = 0;     // of frames_, at least once
+  std::uint64_t first_ = 0;  // sequence number of frames_.front()
+  std::size_t sent_ = 0;  // number of frames at the front of frames_ that were sent at least once
   base::TimePoint resend_at_{};
 };
 
--- a/libs/requests/include/gaugevalve/requests/hand_over.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over.h
@@ -1,9 +1,11 @@
-// Requests that run at another agent's endpoint while their callers' connections stay.
+// Hand-over of requests: a request runs at another agent's endpoint while the caller's connection
+// stays at this agent.
 //
-// An agent that can't run a request soon (it drains, its endpoint is down, the wait would be long)
-// offers it to one that can. The offer names one life of each side, so that no later life takes it
-// for its own; body and answer flow as counted frames within the receiver's credit, and are
-// repeated until acknowledged. docs/design/0012-hand-over.md has the reasons.
+// An agent that cannot run a request soon (because it drains, its endpoint is down or the wait
+// would be long) offers it to an agent that can. The offer names the incarnations of both agents,
+// so that no later incarnation accepts its messages. Bodies and answers are sent as numbered frames
+// within the receiver's credit and are retransmitted until acknowledged. The design is in
+// docs/design/0012-hand-over.md.
 #pragma once
 
 #include <cstddef>
@@ -17,14 +19,14 @@
 
 namespace gaugevalve::requests {
 
-// What this agent's endpoint could take now, for its announcements.
+// Spare capacity of this agent's endpoint, for its announcements.
 struct LocalLoad {
   std::uint32_t free_slots = 0;
   std::uint32_t queue_room = 0;
   bool takes_requests = false;
 };
 
-// Both parts of one agent. Not thread-safe; the owner passes in the time.
+// The origin and the executor of one agent. Not thread-safe; the owner passes in the time.
 class HandOver {
  public:
   // `random` must outlive this.
@@ -33,15 +35,16 @@
   HandOver(const HandOver&) = delete;
   HandOver& operator=(const HandOver&) = delete;
 
-  // Takes the service's table, of any version.
+  // Applies the service's table, of any version.
   HandOverActions SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                            base::TimePoint now);
 
-  // Takes a message of another agent; malformed ones are passed over.
+  // Handles a message from another agent; malformed messages are ignored.
   HandOverActions OnMessage(base::NodeId sender, const proto::HandOverMessage& message,
                             base::TimePoint now);
 
-  // Repeats, gives up and announces `load` as due. Call every few tens of milliseconds.
+  // Retransmits messages, ends overdue hand-overs and announces `load` when due. Call every few
+  // tens of milliseconds.
   HandOverActions OnTimer(const LocalLoad& load, base::TimePoint now);
 
   HandOverOrigin& Origin() { return origin_; }
--- a/libs/requests/include/gaugevalve/requests/hand_over_actions.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_actions.h
@@ -1,4 +1,4 @@
-// What an agent's hand-over core tells its shell after one event.
+// The actions of the hand-over core of an agent after one event.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace gaugevalve::requests {
 
-// There is room for more of the request's body.
+// The request body can be written again.
 struct BodyWritable {};
 
 struct AnswerHeadReceived {
@@ -24,18 +24,18 @@
   std::string bytes;
 };
 
-// The answer is whole. Nothing more comes of the request.
+// The answer is complete. This is the last event of the request.
 struct AnswerEnded {};
 
-// The answer broke off after its head. Nothing more comes of the request.
+// The answer was aborted after its head. This is the last event of the request.
 struct AnswerAborted {};
 
-// No answer comes. Nothing more comes of the request.
+// There is no answer. This is the last event of the request.
 struct HandOverRefused {
   Refusal refusal;
 };
 
-// At the origin: what came of a request that was handed over.
+// At the origin: an event of a request that was handed over.
 struct OriginEvent {
   RequestId request;
   std::variant<BodyWritable, AnswerHeadReceived, AnswerBytesReceived, AnswerEnded, AnswerAborted,
@@ -43,7 +43,7 @@
       what;
 };
 
-// Another agent asks for this run. HandOverExecutor::Accept() or Refuse() must follow.
+// Another agent asks this one to run a request. HandOverExecutor::Accept() or Refuse() must follow.
 struct RunOffered {
   proto::HandOverRequestHead head;
   base::Duration time_left{0};
@@ -55,19 +55,19 @@
 
 struct BodyEnded {};
 
-// There is room for more of the answer.
+// The answer can be written again.
 struct AnswerWritable {};
 
-// Nobody waits for the run any more: break it off. The core has forgotten it.
+// The result of the run is no longer needed: abort it. The core has already removed it.
 struct RunCancelled {};
 
-// At the executor: what concerns a run for another agent.
+// At the executor: an event of a run for another agent.
 struct ExecutorEvent {
   HandOverId run;
   std::variant<RunOffered, BodyBytesReceived, BodyEnded, AnswerWritable, RunCancelled> what;
 };
 
-// What is to be done after one event, each list in its order.
+// The actions that result from one event; each list is in order.
 struct HandOverActions {
   std::vector<OutgoingMessage> send;
   std::vector<OriginEvent> origin;
--- a/libs/requests/include/gaugevalve/requests/hand_over_codec.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_codec.h
@@ -1,4 +1,4 @@
-// The bytes of messages between agents about requests, and the checks on hand-overs.
+// Encoding and validation of the messages between agents about requests.
 #pragma once
 
 #include <optional>
@@ -11,19 +11,19 @@
 
 namespace gaugevalve::requests {
 
-// Returns the message in `bytes`; nothing when they are malformed or a hand-over in them fails
+// Returns the message in `bytes`; nothing if they are malformed or contain a hand-over that fails
 // IsWellFormed().
 std::optional<proto::AtMostOnceMessage> DecodePeerMessage(std::string_view bytes);
 
-// Returns whether the message is one that an agent may send: every part that its kind needs, sizes
-// and numbers within the bounds of HandOverLimits and of HTTP, no control character in a head, and
-// exactly one hop.
+// Returns whether an agent may send this message: all parts that its kind requires are present,
+// sizes and numbers are within the bounds of HandOverLimits and HTTP, heads contain no control
+// characters, and the hop count is 1.
 bool IsWellFormed(const proto::HandOverMessage& message);
 
-// Returns whether the head of a request can be offered: its size and characters.
+// Returns whether the size and the characters of a request head allow it to be offered.
 bool IsWellFormed(const proto::HandOverRequestHead& head);
 
-// Returns whether the head of an answer can be passed back.
+// Returns whether an answer head can be sent back to the origin.
 bool IsWellFormed(const proto::HandOverAnswerHead& head);
 
 void EncodeHandOverId(const HandOverId& id, proto::HandOverId* message);
--- a/libs/requests/include/gaugevalve/requests/hand_over_executor.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_executor.h
@@ -1,4 +1,4 @@
-// The part of the agent whose endpoint runs another agent's request.
+// Executor side of hand-over: runs requests of other agents at this agent's endpoint.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +14,28 @@
 
 namespace gaugevalve::requests {
 
-// Runs for other agents. Each offer becomes at most one RunOffered: a repeat of one that ended is
-// told from a new one by OfferDeduplicator, and an offer to a former life of this agent is passed
-// over. Until its origin has closed a run, or is silent or replaced, what is to be said of it is
-// repeated.
+// Runs requests for other agents. Each offer results in at most one RunOffered: OfferDeduplicator
+// detects a repeated offer of a run that has ended, and an offer to a previous incarnation of this
+// agent is ignored. The messages of a run are retransmitted until its origin closes it, falls
+// silent or is replaced by a newer incarnation.
 //
-// A run whose deadline passes before its answer begins is cancelled, one that is cancelled before
+// A run whose deadline passes before its answer begins is cancelled. A run that is cancelled before
 // its end leaves the origin without an answer ("outcome unknown" there). When the table is full, an
-// offer is refused and remembered as refused. Not thread-safe.
+// offer is refused and recorded as refused. Not thread-safe.
 class HandOverExecutor {
  public:
   HandOverExecutor(base::NodeId self, base::Incarnation incarnation, const HandOverLimits& limits);
 
-  // The shell has admitted the run: its body may come.
+  // The caller has admitted the run: the origin may send its body.
   void Accept(const HandOverId& run, HandOverActions& actions);
 
-  // No answer will come of the run. An outcome of kNotRun promises that no byte of it reached the
-  // endpoint, and is sent as kOutcomeUnknown once an answer has begun.
+  // Ends the run without an answer. An outcome of kNotRun asserts that no byte of the request
+  // reached the endpoint; once an answer has begun, the answer is aborted instead.
   void Refuse(const HandOverId& run, const Refusal& refusal, base::TimePoint now,
               HandOverActions& actions);
 
-  // The answer, in this order: head, bytes, then end or cut. WriteAnswer() returns false when it
-  // should be the last until AnswerWritable.
+  // Send the answer, in this order: head, bytes, then end or abort. WriteAnswer() returns false if
+  // the caller should not write more until AnswerWritable.
   void BeginAnswer(const HandOverId& run, const proto::HandOverAnswerHead& head,
                    base::TimePoint now, HandOverActions& actions);
   bool WriteAnswer(const HandOverId& run, std::string_view bytes, base::TimePoint now,
@@ -43,14 +43,14 @@
   void EndAnswer(const HandOverId& run, base::TimePoint now, HandOverActions& actions);
   void AbortAnswer(const HandOverId& run, base::TimePoint now, HandOverActions& actions);
 
-  // Stops the request's body, or lets it go on; what has credit still comes.
+  // Pauses or resumes the request body. Bytes within the credit granted so far may still arrive.
   void SetBodyPaused(const HandOverId& run, bool is_paused, HandOverActions& actions);
 
-  // Takes a well-formed message of a hand-over to this node.
+  // Handles a well-formed message of a hand-over to this node.
   void OnMessage(base::NodeId sender, const proto::HandOverMessage& message, base::TimePoint now,
                  HandOverActions& actions);
 
-  // The table lists this life of an agent: what a former one offered is over.
+  // The table lists this incarnation of an agent: runs offered by older ones are ended.
   void OnNewIncarnation(base::NodeId node, base::Incarnation incarnation, HandOverActions& actions);
 
   void OnTimer(base::TimePoint now, HandOverActions& actions);
@@ -64,8 +64,8 @@
     base::TimePoint deadline{};
     bool is_accepted = false;
     bool has_answer_begun = false;
-    bool has_ended = false;    // all of the answer is in `answer`
-    bool was_refused = false;  // as not run
+    bool has_ended = false;    // the complete answer is in `answer`
+    bool was_refused = false;  // refused as not run
     bool waits_for_room = false;
     base::TimePoint heard_at{};
     base::TimePoint heartbeat_at{};
--- a/libs/requests/include/gaugevalve/requests/hand_over_id.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_id.h
@@ -1,4 +1,4 @@
-// The name of one hand-over.
+// Identifier of one hand-over.
 #pragma once
 
 #include <compare>
@@ -9,8 +9,8 @@
 
 namespace gaugevalve::requests {
 
-// One life of the agent that ends the caller's connection, its own count, and the one life of the
-// agent that it asks to run the request. Unique in the service.
+// The incarnation of the agent that terminates the caller's connection, its own counter, and the
+// incarnation of the agent that is asked to run the request. Unique in the service.
 struct HandOverId {
   base::NodeId origin;
   base::Incarnation origin_incarnation;
--- a/libs/requests/include/gaugevalve/requests/hand_over_limits.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_limits.h
@@ -1,4 +1,4 @@
-// Times, bounds and mechanisms of the hand-over of requests between agents of one service.
+// Times, bounds and mechanisms of the hand-over of requests between the agents of one service.
 #pragma once
 
 #include <cstddef>
@@ -8,45 +8,45 @@
 
 namespace gaugevalve::requests {
 
-// Bytes of a body in one frame. A frame with its envelope is far below the transport's largest
-// message.
+// Maximum body bytes per frame. With its headers such a frame is far below the maximum message size
+// of the transport.
 inline constexpr std::size_t kMaxChunkBytes = 16 * std::size_t{1024};
 
-// Frames of one direction of one hand-over that may be under way: with kMaxChunkBytes the most that
-// a receiver has to take after it said "stop".
+// Maximum number of unacknowledged frames per direction of a hand-over. Multiplied by
+// kMaxChunkBytes, this is the most that a receiver must accept after pausing.
 inline constexpr std::uint64_t kWindowFrames = 8;
 
-// The mechanisms of the guarantee. All are on; a proof switches one off to show that it would
-// notice.
+// The mechanisms that provide the guarantee. All are enabled; the proof disables one at a time to
+// show that it detects the fault.
 struct HandOverMechanisms {
-  bool check_sequence = true;      // frames are taken once and in order
-  bool check_incarnation = true;   // a message is for one life of its sender and its receiver
-  bool bound_hops = true;          // what was handed over is never handed on
-  bool remember_ended = true;      // an offer that ended isn't taken again
-  bool silence_is_unknown = true;  // a peer that falls silent may have run the request
-  bool repeat_only_safe = true;    // only a safe request is offered again after a peer_timeout
-  bool remember_loss = true;       // after a lost peer, another's "not run" is no proof
-  bool remember_refused = true;    // an offer that was refused isn't taken later
-  bool bound_in_flight = true;     // hand-overs to each peer, and in all
+  bool check_sequence = true;      // frames are accepted once and in order
+  bool check_incarnation = true;   // a message is for one incarnation of its sender and receiver
+  bool bound_hops = true;          // a request that was handed over is not handed over again
+  bool remember_ended = true;      // an offer that ended is not accepted again
+  bool silence_is_unknown = true;  // a silent peer may have run the request
+  bool repeat_only_safe = true;    // only a safe request is offered again after a peer fell silent
+  bool remember_loss = true;       // after a peer was lost, "not run" from another peer is no proof
+  bool remember_refused = true;    // an offer that was refused is not accepted later
+  bool bound_in_flight = true;     // limits hand-overs per peer and in total
 };
 
 struct HandOverLimits {
-  std::size_t origin_capacity = 256;          // handed over at once; more stay here
-  std::size_t in_flight_per_peer = 32;        // handed over to one peer at once
-  std::size_t executor_capacity = 256;        // taken from others at once; more are refused
-  std::size_t remembered_per_origin = 1'024;  // ended hand-overs; older ones count as ended too
+  std::size_t origin_capacity = 256;  // concurrent hand-overs to peers; further requests stay here
+  std::size_t in_flight_per_peer = 32;  // concurrent hand-overs to one peer
+  std::size_t executor_capacity = 256;  // concurrent runs for peers; further offers are refused
+  std::size_t remembered_per_origin = 1'024;  // ended hand-overs; lower numbers count as ended too
   std::size_t remembered_origins = 256;       // see OfferDeduplicator
-  std::size_t max_offers = 2;                 // peers asked for one request
-  std::uint32_t min_free_slots_for_shorter_wait =
-      2;                                     // free at a peer, to move a request for a shorter wait
-  base::Duration max_local_wait{1'000'000};  // estimated wait above which a peer is looked for
-  base::Duration resend_interval{100'000};   // between repeats; doubles up to heartbeat_interval
+  std::size_t max_offers = 2;                 // peers that are offered one request
+  std::uint32_t min_free_slots_for_shorter_wait = 2;  // free slots a peer needs for kShorterWait
+  base::Duration max_local_wait{1'000'000};           // estimated wait above which a peer is sought
+  // Interval before the first retransmission; doubles up to heartbeat_interval.
+  base::Duration resend_interval{100'000};
   base::Duration heartbeat_interval{500'000};
-  base::Duration peer_timeout{3'000'000};   // after which the other side counts as lost
-  base::Duration load_interval{1'000'000};  // between announcements of our load
-  base::Duration max_load_age{5'000'000};   // how long a peer's load is believed
-  std::size_t announced_peers = 8;          // told our load at a time; the others take their turn
-  double retry_share = 0.1;  // safe requests offered again after a peer_timeout, per offer
+  base::Duration peer_timeout{3'000'000};   // silence after which the other side counts as lost
+  base::Duration load_interval{1'000'000};  // between announcements of this agent's load
+  base::Duration max_load_age{5'000'000};   // older announcements of a peer are ignored
+  std::size_t announced_peers = 8;          // peers notified per announcement, in rotation
+  double retry_share = 0.1;                 // repeated offers of safe requests, per first offer
   double retry_burst = 10.0;
   HandOverMechanisms mechanisms;
 };
--- a/libs/requests/include/gaugevalve/requests/hand_over_origin.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_origin.h
@@ -1,4 +1,4 @@
-// The part of the agent that ends the caller's connection in handing its requests over.
+// Origin side of hand-over: hands over requests of connections that this agent terminates.
 #pragma once
 
 #include <cstddef>
@@ -18,53 +18,53 @@
 
 namespace gaugevalve::requests {
 
-// A request that is to run at another agent's endpoint.
+// A request to run at another agent's endpoint.
 struct HandOverRequest {
   RequestId id;
   proto::HandOverRequestHead head;
   base::TimePoint deadline;
-  bool is_safe = false;  // a safe method (RFC 9110): may be repeated after a peer_timeout
+  bool is_safe = false;  // a safe method (RFC 9110): may be repeated after a peer was lost
   bool was_handed_over = false;
 };
 
-// Requests handed over by this agent. Each taken one ends by exactly one of AnswerEnded,
-// AnswerAborted and HandOverRefused, or by Cancel().
+// Requests handed over by this agent. Each accepted one ends with exactly one of AnswerEnded,
+// AnswerAborted and HandOverRefused, or with Cancel().
 //
-// "Not run" is only said when the peer said so, before a byte reached its endpoint, and no other
-// peer takes the request; a peer that falls silent, starts anew or has forgotten the request leaves
-// the outcome unknown, and only a safe request of which no part was consumed is then offered again,
+// "Not run" is reported only if the peer reported it, before any byte reached its endpoint, and no
+// other peer accepts the request. If a peer falls silent, restarts or no longer knows the request,
+// the outcome is unknown; only a safe request of which no part was consumed is then offered again,
 // within the retry budget. The deadline ends a request whose answer has not begun, as it does at
-// the agent's own endpoint; an answer that has begun ends with the peer's peer_timeout.
+// the agent's own endpoint. An answer that has begun is aborted if the peer falls silent.
 //
-// Bounded by HandOverLimits: when full nothing is taken. Not thread-safe.
+// Bounded by HandOverLimits: when full, no request is accepted. Not thread-safe.
 class HandOverOrigin {
  public:
   // `loads` and `random` must outlive this.
   HandOverOrigin(base::NodeId self, base::Incarnation incarnation, const HandOverLimits& limits,
                  PeerLoads& loads, base::RandomSource& random);
 
-  // Offers the request to a peer. Returns false, having done nothing, when no peer will do, the
-  // table is full, or the request was handed over before.
+  // Offers the request to a peer. Returns false, with no effect, if no peer is suitable, the table
+  // is full, or the request was already handed over.
   bool Offer(const HandOverRequest& request, HandOverNeed need, base::TimePoint now,
              HandOverActions& actions);
 
-  // Takes a part of the request's body. Returns false when it should be the last until
+  // Sends a part of the request body. Returns false if the caller should not write more until
   // BodyWritable.
   bool WriteBody(RequestId id, std::string_view bytes, base::TimePoint now,
                  HandOverActions& actions);
   void FinishBody(RequestId id, base::TimePoint now, HandOverActions& actions);
 
-  // Stops the answer, or lets it go on; what has credit still comes.
+  // Pauses or resumes the answer. Bytes within the credit granted so far may still arrive.
   void SetAnswerPaused(RequestId id, bool is_paused, HandOverActions& actions);
 
-  // The caller gave the request up.
+  // Ends the hand-over of a request that its caller cancelled.
   void Cancel(RequestId id, HandOverActions& actions);
 
-  // Takes a well-formed message that concerns a hand-over of this node's.
+  // Handles a well-formed message of a hand-over from this node.
   void OnMessage(base::NodeId sender, const proto::HandOverMessage& message, base::TimePoint now,
                  HandOverActions& actions);
 
-  // The table lists another life of a peer: what it held is lost.
+  // The table lists another incarnation of a peer: hand-overs to the previous one are lost.
   void OnNewIncarnation(base::NodeId node, base::Incarnation incarnation, base::TimePoint now,
                         HandOverActions& actions);
 
@@ -81,12 +81,12 @@
     std::vector<base::NodeId> tried;
     FrameSender body;
     FrameReceiver answer;
-    bool may_have_run = false;  // at a peer that was lost, before it was offered again
+    bool may_have_run = false;  // at a peer that was lost before the request was offered again
     bool is_accepted = false;
     bool has_answer_begun = false;
     bool waits_for_room = false;
     base::TimePoint heard_at{};
-    base::TimePoint offer_at{};  // when the offer is sent next, until it is accepted
+    base::TimePoint offer_at{};  // time of the next offer, until it is accepted
     base::TimePoint heartbeat_at{};
   };
 
--- a/libs/requests/include/gaugevalve/requests/peer_loads.h
+++ b/libs/requests/include/gaugevalve/requests/peer_loads.h
@@ -1,5 +1,4 @@
-// What an agent knows of the load of the other agents of its service, and whom it asks to run a
-// request.
+// Load of the other agents of a service, and the choice of an agent to hand a request over to.
 #pragma once
 
 #include <cstddef>
@@ -17,55 +16,56 @@
 
 namespace gaugevalve::requests {
 
-// Why a request looks for another agent.
+// Why a request should run at another agent.
 enum class HandOverNeed : std::uint8_t {
-  kCannotRunHere,  // this agent drains or its endpoint is down: any room elsewhere will do
-  kShorterWait,    // it would wait long here: only a peer with clearly more free slots will do
+  kCannotRunHere,  // this agent drains or its endpoint is down: a peer with any capacity is
+                   // suitable
+  kShorterWait,    // the wait here would be long: a peer needs several free slots
 };
 
-// What bears on one request at the agent that has it.
+// The state of a request and its agent that decides whether it is handed over.
 struct LocalSituation {
   bool was_handed_over = false;
-  bool is_stream = false;  // long-lived streams follow their connection
+  bool is_stream = false;  // long-lived streams stay with their connection
   bool is_draining = false;
   bool is_endpoint_down = false;
   base::Duration estimated_wait{0};
 };
 
-// Returns why the request should run elsewhere, or nothing when it stays.
+// Returns why the request should run at another agent; nothing if it should stay.
 std::optional<HandOverNeed> FindHandOverNeed(const LocalSituation& situation,
                                              const HandOverLimits& limits);
 
-// An agent that a request is handed over to.
+// The agent that a request is handed over to.
 struct ChosenPeer {
   base::NodeId node;
   base::Incarnation incarnation;
 };
 
-// Believes only fresh announcements of lives that the service's table lists: an agent of an older
-// release, which would let an offer pass unanswered, announces nothing and is never asked. Bounded
-// by the table. Not thread-safe.
+// Uses only recent announcements of incarnations that the service's table lists. An agent of an
+// older release would ignore an offer; it does not announce its load and is therefore never chosen.
+// Bounded by the table. Not thread-safe.
 class PeerLoads {
  public:
   // `self` is never chosen.
   PeerLoads(base::NodeId self, const HandOverLimits& limits);
 
-  // Forgets agents that the table doesn't list any more.
+  // Removes agents that the table no longer lists.
   void SetTable(const routing::BucketTable& table);
 
-  // Takes an announcement.
+  // Stores an announcement.
   void Update(const proto::HandOverLoad& load, base::TimePoint now);
 
-  // Returns the better of two random peers that have room ("power of two choices"), none of those
-  // tried before; nothing when no peer will do.
+  // Returns the better of two random peers with capacity ("power of two choices"), excluding those
+  // in `tried`; nothing if no peer is suitable.
   std::optional<ChosenPeer> Choose(HandOverNeed need, const std::vector<base::NodeId>& tried,
                                    base::RandomSource& random, base::TimePoint now) const;
 
-  // A hand-over to this peer began, or ended.
+  // A hand-over to this peer began or ended.
   void OnHandOverBegun(base::NodeId node);
   void OnHandOverEnded(base::NodeId node);
 
-  // The peer refused: it has no room until it announces some.
+  // The peer refused: it counts as full until its next announcement.
   void OnRefused(base::NodeId node);
 
   std::size_t InFlight(base::NodeId node) const;
@@ -75,7 +75,7 @@
   struct Peer {
     base::Incarnation listed_incarnation;
     base::Incarnation announced_incarnation;
-    std::int64_t free_slots = 0;  // less the hand-overs begun since
+    std::int64_t free_slots = 0;  // minus the hand-overs begun since the announcement
     std::int64_t queue_room = 0;
     bool takes_requests = false;
     bool was_heard = false;
--- a/libs/requests/include/gaugevalve/requests/request_outcome.h
+++ b/libs/requests/include/gaugevalve/requests/request_outcome.h
@@ -1,4 +1,4 @@
-// How a request ended, as its caller is told, and how that reads in HTTP.
+// Outcome of a request as reported to its caller, and its mapping to HTTP.
 #pragma once
 
 #include <cstddef>
@@ -11,53 +11,53 @@
 
 namespace gaugevalve::requests {
 
-// A request's final outcome. kNotRun is a promise: no byte of it reached an endpoint, or the
-// endpoint itself said by a published sign that it refused before running.
+// Final outcome of a request. kNotRun guarantees that no byte of it reached an endpoint, or that
+// the endpoint itself reported, by a documented signal, that it refused before running.
 enum class RequestOutcome : std::uint8_t {
-  kAnswered,        // the endpoint's own whole answer
-  kNotRun,          // did not run and won't; may be repeated by anyone
+  kAnswered,        // the endpoint's own complete answer
+  kNotRun,          // did not run and will not run; any caller may repeat it
   kOutcomeUnknown,  // may or may not have run
-  kCancelled,       // the caller gave it up
+  kCancelled,       // cancelled by the caller
 };
 
-// Why a request was not run, or why its outcome isn't known.
+// Why a request was not run, or why its outcome is unknown.
 enum class RefusalReason : std::uint8_t {
   kQueueFull,           // the bounded queue is full of requests at least as urgent
   kDeadlineTooShort,    // it could not finish before its deadline
   kDeadlinePassed,      // its deadline passed while it waited
-  kBrownOut,            // load is high and its urgency low
-  kDraining,            // this agent takes no new requests
+  kBrownOut,            // the load is high and the request's urgency is low
+  kDraining,            // this agent accepts no new requests
   kEndpointDown,        // no connection to the endpoint could be made
-  kEndpointRefused,     // the endpoint shed it before running
-  kStreamLimit,         // as many long-lived streams as the endpoint takes are open
-  kKeyInProgress,       // a request with this idempotency key is being run now
-  kKeyReused,           // this idempotency key came with another request before
-  kKeyOwnerUnsettled,   // who arbitrates the key is being settled
-  kKeyTableFull,        // no room to remember another key
-  kKeyForgotten,        // what was known of this key is lost
-  kExecutorLost,        // the agent that ran it is gone
+  kEndpointRefused,     // the endpoint refused it before running it
+  kStreamLimit,         // the endpoint's limit of long-lived streams is reached
+  kKeyInProgress,       // a request with this idempotency key is running
+  kKeyReused,           // this idempotency key was used with a different request
+  kKeyOwnerUnsettled,   // the key has no owner yet that has collected all records
+  kKeyTableFull,        // the table of keys is full
+  kKeyForgotten,        // records that may have included this key are lost
+  kExecutorLost,        // the agent that ran it was lost
   kEndpointFailed,      // the connection broke after the first byte was sent
   kDeadlineAfterStart,  // the deadline passed after it was sent to the endpoint
 };
 
-// Number of values of RefusalReason, which count from 0.
+// Number of values of RefusalReason, which start at 0.
 inline constexpr std::size_t kRefusalReasonCount =
     static_cast<std::size_t>(RefusalReason::kDeadlineAfterStart) + 1;
 
-// What the caller of a refused request is sent, at once.
+// What the caller of a refused request is told immediately.
 struct Refusal {
   RequestOutcome outcome = RequestOutcome::kNotRun;
   RefusalReason reason = RefusalReason::kQueueFull;
-  base::Duration retry_after{0};  // when to come back; 0 gives no hint
+  base::Duration retry_after{0};  // when to retry; 0 gives no hint
 };
 
-// The response header that names the outcome in every answer which isn't the endpoint's own.
+// Response header that names the outcome in every answer that is not the endpoint's own.
 inline constexpr std::string_view kOutcomeHeader = "gaugevalve-outcome";
 
-// Returns the outcome's name in logs, metrics and kOutcomeHeader, as "not-run".
+// Returns the name of the outcome in logs, metrics and kOutcomeHeader, such as "not-run".
 std::string_view OutcomeName(RequestOutcome outcome);
 
-// Returns the reason's name in logs and metrics, as "queue-full".
+// Returns the name of the reason in logs and metrics, such as "queue-full".
 std::string_view ReasonName(RefusalReason reason);
 
 // Returns the HTTP status (RFC 9110; 409 and 422 as in the Idempotency-Key draft) of a refusal.
--- a/libs/requests/include/gaugevalve/requests/request_pipeline.h
+++ b/libs/requests/include/gaugevalve/requests/request_pipeline.h
@@ -1,4 +1,4 @@
-// The way of a request through an agent: permit (where it is keyed), admission, endpoint, end.
+// Processing of a request in an agent: permit (if it has a key), admission, endpoint, end.
 #pragma once
 
 #include <cstddef>
@@ -15,32 +15,32 @@
 
 namespace gaugevalve::requests {
 
-// A key as its caller sent it with one request.
+// An idempotency key and the request it was sent with.
 struct RequestKey {
   KeyDigest digest;
   std::uint64_t fingerprint = 0;
-  std::optional<base::Duration> created_at;  // since the Unix epoch, where the key tells
+  std::optional<base::Duration> created_at;  // since the Unix epoch, if the key has a time
 };
 
-// A request whose head (and, where it is keyed, body) has come.
+// A request whose head (and, if it has a key, body) has been received.
 struct IncomingRequest {
   RequestId id;
-  bool is_stream = false;  // a long-lived event stream: holds a connection, not a slot
+  bool is_stream = false;  // a long-lived event stream: uses a connection, not a slot
   std::optional<RequestKey> key;
-  std::optional<base::Duration> timeout;  // by the caller; the default applies where there is none
+  std::optional<base::Duration> timeout;  // set by the caller; otherwise the default applies
   std::uint8_t urgency = kDefaultUrgency;
 };
 
 // How an exchange with the endpoint ended.
 enum class EndpointResult : std::uint8_t {
-  kAnswered,           // a whole answer
-  kRefused,            // a whole answer which says that the request was not run
-  kNotSent,            // no connection: no byte left this agent, and it can be sent again
-  kBodyNotReplayable,  // no byte left this agent either, but parts of the body can't be had again
-  kFailed,             // broken off after the first byte
+  kAnswered,           // a complete answer
+  kRefused,            // a complete answer which says that the request was not run
+  kNotSent,            // no connection: no byte left this agent, so it can be sent again
+  kBodyNotReplayable,  // no byte left this agent, but parts of the body are no longer available
+  kFailed,             // aborted after the first byte was sent
 };
 
-// What a pipeline is made of.
+// Settings of a pipeline.
 struct PipelineSettings {
   base::NodeId self;
   base::Incarnation incarnation;
@@ -48,47 +48,49 @@
   base::Duration default_timeout{10'000'000};
   AtMostOnceLimits at_most_once;
   double retry_share = 0.1;   // retries per request
-  double retry_burst = 10.0;  // retries saved up at most
+  double retry_burst = 10.0;  // maximum number of retries saved up
 };
 
-// What to do after one event. Each request gets exactly one of refused, repeated or a start whose
-// end is then told by FinishAtEndpoint() or Cancel().
+// The actions that result from one event. Each request appears exactly once in `refused` or
+// `repeated`, or is started and then ends with FinishAtEndpoint() or Cancel().
 struct PipelineActions {
-  std::vector<RequestId> start;           // send it to the endpoint
-  std::vector<RequestId> abandon;         // break off the exchange; its refusal is in `refused`
-  std::vector<RefusedRequest> refused;    // tell the caller at once
-  std::vector<RepeatedRequest> repeated;  // the answer of the first execution
+  std::vector<RequestId> start;           // send to the endpoint
+  std::vector<RequestId> abandon;         // abort the exchange; its refusal is in `refused`
+  std::vector<RefusedRequest> refused;    // tell the caller immediately
+  std::vector<RepeatedRequest> repeated;  // answered with the answer of the first execution
   std::vector<OutgoingMessage> send;      // to other agents
 };
 
-// One agent's requests. Bounded by its parts. Not thread-safe; the owner passes in the time.
+// The requests of one agent. Bounded by its components. Not thread-safe; the owner passes in the
+// time.
 class RequestPipeline {
  public:
-  // `random` must outlive this. `now` is the start of this life, `wall_time` since the Unix epoch.
+  // `random` must outlive this object. `now` is the start time of this incarnation, which is
+  // `wall_time` since the Unix epoch.
   RequestPipeline(const PipelineSettings& settings, base::RandomSource& random, base::TimePoint now,
                   base::Duration wall_time);
 
   PipelineActions AddRequest(const IncomingRequest& request, base::TimePoint now);
 
-  // The answer's head has gone to the caller: from now on the deadline doesn't cut it short.
+  // The answer's head was sent to the caller: from now on the deadline does not abort the answer.
   void MarkAnswerBegun(RequestId id);
 
-  // The answer turned out to be a long-lived event stream: it gives its slot back.
+  // The answer is a long-lived event stream: releases the slot.
   PipelineActions MarkAsStream(RequestId id, base::TimePoint now);
 
-  // An exchange ended. `answer` is kept for repeats of a keyed request.
+  // An exchange with the endpoint ended. `answer` is stored for repetitions of a keyed request.
   PipelineActions FinishAtEndpoint(RequestId id, EndpointResult end, const StoredAnswer& answer,
                                    base::TimePoint now);
 
-  // The caller gave the request up; where it was started, its exchange is being broken off.
+  // The caller cancelled the request. If it was started, its exchange is being aborted.
   PipelineActions Cancel(RequestId id, base::TimePoint now);
 
   PipelineActions SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                            base::TimePoint confirmed_at, base::TimePoint now);
   PipelineActions SetLimits(const AdmissionLimits& limits, base::Duration default_timeout,
                             base::TimePoint now);
-  // Returns whether a key made now can be told from one that is forgotten: not in the first seconds
-  // of a service, nor after the loss of two agents.
+  // Returns whether a key created now can be distinguished from a lost one. This is not so in the
+  // first seconds of a service or after the loss of two agents.
   bool RemembersNewKeys(base::TimePoint now) const { return at_most_once_.RemembersNewKeys(now); }
 
   PipelineActions OnMessage(base::NodeId sender, const proto::AtMostOnceMessage& message,
@@ -97,7 +99,7 @@
   // Call every few tens of milliseconds.
   PipelineActions OnTimer(base::TimePoint now);
 
-  // Takes no new request from now on, or again; what waits and what runs is finished.
+  // Starts or stops refusing new requests. Waiting and running requests are finished.
   void SetDraining(bool is_draining) { admission_.SetDraining(is_draining); }
 
   const AdmissionQueue& Admission() const { return admission_; }
--- a/libs/requests/include/gaugevalve/requests/retry_budget.h
+++ b/libs/requests/include/gaugevalve/requests/retry_budget.h
@@ -1,22 +1,25 @@
-// Bounds retries to a small share of the load, so that a failing endpoint draws no storm of them.
+// Limits retries to a small share of the load, so that a failing endpoint does not cause a retry
+// storm.
 #pragma once
 
 #include <cstdint>
 
 namespace gaugevalve::requests {
 
-// Counts first tries and retries of one agent. Each first try earns a fraction of a retry; a retry
-// spends a whole one. What is earned is capped, so a quiet time saves up no burst. Since every
-// agent keeps to its share, the deployment does too. Not thread-safe.
+// Counts first attempts and retries of one agent. Each first attempt adds a fraction of a retry to
+// the budget; a retry spends one. The budget is capped, so that many first attempts cannot save up
+// a large burst. Because every agent stays within its share, the whole deployment does too. Not
+// thread-safe.
 class RetryBudget {
  public:
-  // `share` is retries allowed per first try, in [0, 1]; `burst` the most that can be saved up.
+  // `share` is the number of retries allowed per first attempt, in [0, 1]; `burst` is the maximum
+  // budget.
   RetryBudget(double share, double burst) : share_(share), burst_(burst) {}
 
-  // A first try was made.
+  // Adds one first attempt.
   void OnFirstAttempt();
 
-  // Returns true and spends one retry when one is left; false when the caller must not retry.
+  // Returns true and spends one retry if one is available; false if the caller must not retry.
   bool TakeRetry();
 
  private:
--- a/libs/requests/src/admission_queue.cpp
+++ b/libs/requests/src/admission_queue.cpp
@@ -5,11 +5,11 @@
 namespace gaugevalve::requests {
 namespace {
 
-// Weight of one sample in the smoothed service time: 1/8, as in TCP's smoothed round trip (RFC
-// 6298).
+// A sample has a weight of 1/8 in the smoothed service time, as in TCP's smoothed round-trip time
+// (RFC 6298).
 constexpr std::int64_t kSmoothingDivisor = 8;
 
-// A hint below this would only bring the caller back into the same crowd.
+// With a shorter hint, refused callers would return during the same overload.
 constexpr base::Duration kMinRetryAfter{1'000'000};
 
 }  // namespace
@@ -92,7 +92,8 @@
   return actions;
 }
 
-// A slot frees up every service_time / slots on average; those before it in the queue come first.
+// A slot becomes free every service_time / slots on average; requests ahead in the queue take the
+// first ones.
 base::Duration AdmissionQueue::EstimatedWaitAt(std::size_t position) const {
   const std::size_t slots = std::max<std::size_t>(limits_.slots, 1);
   const std::size_t free_slots = slots - std::min(slots, running_.size());
@@ -140,7 +141,7 @@
   return std::nullopt;
 }
 
-// Two thresholds, so that the queue doesn't flap around one.
+// Two thresholds (hysteresis) avoid rapid switching around a single one.
 void AdmissionQueue::UpdateBrownOut() {
   const double capacity = limits_.slots + limits_.queue_length;
   const double in_use = static_cast<double>(running_.size() + waiting_.size());
@@ -150,7 +151,8 @@
 }
 
 Refusal AdmissionQueue::MakeRefusal(RefusalReason reason) {
-  // The queue empties in about EstimatedWait(); callers spread over as long again.
+  // The queue empties in about EstimatedWait(). The jitter spreads the retries of refused callers
+  // over the same time again.
   const base::Duration base_wait = std::max(EstimatedWait(), kMinRetryAfter);
   return {RequestOutcome::kNotRun, reason, base_wait + random_.NextJitter(base_wait)};
 }
--- a/libs/requests/src/at_most_once.cpp
+++ b/libs/requests/src/at_most_once.cpp
@@ -32,7 +32,7 @@
 
 AtMostOnce::AtMostOnce(AtMostOnce&&) noexcept = default;
 
-// --- The table, and what follows from its changes ---
+// --- Table changes ---
 
 AtMostOnceActions AtMostOnce::SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                                        base::TimePoint confirmed_at, base::TimePoint now) {
@@ -64,8 +64,8 @@
   return actions;
 }
 
-// The table was confirmed at `last_confirmed_at`: what was lost since may have been lost right
-// after.
+// The table was last confirmed at `last_confirmed_at`. An agent that is missing now may have been
+// lost immediately after that time.
 void AtMostOnce::RecordLosses(const routing::BucketTable& before, base::TimePoint last_confirmed_at,
                               base::TimePoint now) {
   for (const routing::AgentEntry& agent : before.agents) {
@@ -81,7 +81,8 @@
   }
 }
 
-// What the lost life of the node held is gone, also when a new life of it is there already.
+// The records that the lost incarnation held are gone, even if a new incarnation of the node is
+// already running.
 void AtMostOnce::ClearHolder(base::NodeId lost) {
   records_.ForEach([&](ExecutionRecord& record) {
     if (record.second_holder == lost) {
@@ -157,7 +158,7 @@
   actions.send.push_back(std::move(outgoing));
 }
 
-// --- Small queries ---
+// --- Queries ---
 
 base::BucketIndex AtMostOnce::BucketOf(const KeyDigest& key) const {
   return table_->BucketOf(key.low);
@@ -202,7 +203,7 @@
   return collections_->IsSettled(bucket, EntryOf(bucket).version);
 }
 
-// Returns false when a newer version is known; otherwise notes that this one is.
+// Returns false if a newer version is known; otherwise stores this version as acknowledged.
 bool AtMostOnce::Acknowledge(base::BucketIndex bucket, const routing::TableVersion& version) {
   routing::TableVersion& known = acknowledged_[bucket.value()];
   if (version < known) {
@@ -214,7 +215,7 @@
 
 bool AtMostOnce::MayBeForgotten(const std::optional<base::Duration>& key_created_at,
                                 base::TimePoint now) const {
-  // A key without a usable time may be as old as anything that is remembered.
+  // A key without a usable time may be as old as the oldest remembered record.
   base::TimePoint created_at = now - limits_.window;
   if (key_created_at && unix_epoch_ + *key_created_at <= now + limits_.clock_margin) {
     created_at = unix_epoch_ + *key_created_at;
@@ -226,8 +227,8 @@
   return completeness_->MayBeForgotten(created_at);
 }
 
-// The copy goes to the best of the others in rendezvous order of the key, which spreads them
-// evenly.
+// The copy goes to the other agent with the highest rendezvous hash for the key, which distributes
+// copies evenly.
 std::optional<base::NodeId> AtMostOnce::ChooseCopyHolder(const KeyDigest& key) const {
   std::optional<base::NodeId> best;
   std::uint64_t best_weight = 0;
--- a/libs/requests/src/at_most_once_copies.cpp
+++ b/libs/requests/src/at_most_once_copies.cpp
@@ -1,4 +1,4 @@
-// Copies of records, and the collection of records by a bucket's new owner.
+// Copies of records, and the collection of records by the new owner of a bucket.
 #include <algorithm>
 
 #include "bucket_collections.h"
@@ -9,7 +9,7 @@
 namespace gaugevalve::requests {
 namespace {
 
-// Records in one reply to a collection, so that a reply fits the control budget.
+// Records per collect reply, so that a reply fits into the bandwidth budget for control messages.
 constexpr std::size_t kRecordsPerReply = 16;
 
 }  // namespace
@@ -69,7 +69,7 @@
   const bool table_known = DecodeVersion(message.table_version()) <= table_->version ||
                            !limits_.mechanisms.answer_only_with_table;
   if (!table_known || !Acknowledge(bucket, DecodeVersion(message.version()))) {
-    return;  // not yet, or the asker isn't the newest owner
+    return;  // the table here is too old, or the sender is not the newest owner
   }
   const KeyDigest after = DecodeKey(message.after());
   std::vector<ExecutionRecord> records = records_.Select([&](const ExecutionRecord& record) {
@@ -127,8 +127,8 @@
   SendCollectRequests(now, actions);
 }
 
-// Takes in what another agent knows. Of two grants that may have run it can't always be told which
-// is the later one: then the outcome is unknown, which no late message can turn into "not run".
+// Merges a record from another agent. If two grants may have run and it is not known which one is
+// later, the outcome is unknown; no late message can change that to "not run".
 void AtMostOnce::MergeRecord(const ExecutionRecord& record, base::TimePoint now) {
   ExecutionRecord* const known = records_.Find(record.key);
   if (known == nullptr) {
--- a/libs/requests/src/at_most_once_executor.cpp
+++ b/libs/requests/src/at_most_once_executor.cpp
@@ -1,4 +1,4 @@
-// Keyed requests of this agent, from Begin() to their end.
+// Executor role: keyed requests of this agent, from Begin() to their end.
 #include <algorithm>
 
 #include "gaugevalve/requests/at_most_once.h"
@@ -178,7 +178,7 @@
   }
   const base::BucketIndex bucket = BucketOf(pending->request.key);
   if (!Acknowledge(bucket, DecodeVersion(message.version()))) {
-    return;  // decided under a version that we have promised not to take part in
+    return;  // decided under an older version than this agent has acknowledged
   }
   switch (message.verdict()) {
     case proto::RUN:
@@ -204,7 +204,8 @@
   Refuse(pending.request.id, RequestOutcome::kNotRun, RefusalReason::kKeyTableFull, actions);
 }
 
-// A permit for a grant that isn't waiting here: it ended, or was given up, or is another life's.
+// Handles a permit for a grant that is not pending here: the request ended, was cancelled, or
+// belongs to another incarnation.
 void AtMostOnce::OnPermitForUnknownGrant(base::NodeId sender, const ExecutionRecord& record,
                                          base::TimePoint now, AtMostOnceActions& actions) {
   if (record.grant.executor != self_ || record.grant.incarnation != incarnation_) {
@@ -213,7 +214,7 @@
   ExecutionRecord answer = record;
   const ExecutionRecord* const known = records_.Find(record.key);
   const bool ended_here = known != nullptr && known->grant == record.grant;
-  // An old grant may have run and its record have been forgotten since.
+  // An old grant may have run, and its record may have expired since.
   const bool may_be_forgotten = record.first_recorded_at + limits_.window / 2 < now;
   answer.state = may_be_forgotten ? ExecutionState::kUnknown : ExecutionState::kNotRun;
   if (ended_here) {
@@ -265,7 +266,8 @@
   Forget(id);
 }
 
-// Takes back a request that has not been handed out; whoever recorded its grant is told.
+// Withdraws a request that has not started and notifies the agents that may have recorded its
+// grant.
 void AtMostOnce::Withdraw(const Pending& pending, base::TimePoint now, AtMostOnceActions& actions) {
   ExecutionRecord ended;
   ended.key = pending.request.key;
--- a/libs/requests/src/at_most_once_owner.cpp
+++ b/libs/requests/src/at_most_once_owner.cpp
@@ -1,4 +1,4 @@
-// The owner's decision on a key.
+// Owner role: decisions on keys.
 #include <algorithm>
 
 #include "gaugevalve/requests/at_most_once.h"
@@ -32,7 +32,7 @@
     return proto::KNOWN;
   }
   if (MayBeForgotten(key_created_at, now)) {
-    return proto::FORGOTTEN;  // a later grant than the one that didn't run may be lost
+    return proto::FORGOTTEN;  // the record of a later grant that did run may be lost
   }
   records_.Put(wanted);
   return proto::RUN;
@@ -72,7 +72,7 @@
   actions.send.push_back(std::move(outgoing));
 }
 
-// Asks an executor that has not said how a grant ended; its answer is a Finished message.
+// Asks an executor that has not reported the end of a grant. It answers with a Finished message.
 void AtMostOnce::QueryExecutor(const ExecutionRecord& record, base::TimePoint now,
                                AtMostOnceActions& actions) {
   const bool unfinished = record.state == ExecutionState::kGranted;
--- a/libs/requests/src/bucket_collections.cpp
+++ b/libs/requests/src/bucket_collections.cpp
@@ -53,7 +53,7 @@
   }
   if (page.more && page.last_key > page.after) {
     cursor->second = page.last_key;
-    collection.query_at = base::TimePoint();  // at once
+    collection.query_at = base::TimePoint();  // immediately
     return CollectionProgress::kMore;
   }
   collection.cursors.erase(cursor);
--- a/libs/requests/src/bucket_collections.h
+++ b/libs/requests/src/bucket_collections.h
@@ -1,5 +1,5 @@
-// The collection of what other agents know of buckets that this agent came to own; private to the
-// library.
+// Collection of records from other agents for the buckets that this agent has come to own; private
+// to the library.
 #pragma once
 
 #include <vector>
@@ -12,7 +12,7 @@
 
 namespace gaugevalve::requests {
 
-// A query to one agent: its records of the bucket with keys after this one.
+// A query to one agent for its records of the bucket with keys greater than `after`.
 struct CollectionQuery {
   base::NodeId destination;
   base::BucketIndex bucket;
@@ -20,39 +20,41 @@
   KeyDigest after;
 };
 
-// What an answer came to.
+// Result of a page.
 enum class CollectionProgress {
-  kUnexpected,  // not an answer to what was asked last
-  kMore,        // the agent has more; ask on
-  kAnswered,    // the agent is done, others aren't
-  kSettled,     // everyone has answered: the bucket may be decided on
+  kUnexpected,  // does not answer the last query
+  kMore,        // the agent has more records; query it again
+  kAnswered,    // the agent has sent all its records, other agents have not
+  kSettled,     // all agents have answered: keys of the bucket may be decided
 };
 
-// One page of one agent's answer.
+// One page of an agent's records.
 struct CollectionPage {
   base::NodeId sender;
   base::BucketIndex bucket;
   routing::TableVersion version;
-  KeyDigest after;     // as asked
-  KeyDigest last_key;  // of the page; `after` where it is empty
+  KeyDigest after;     // as in the query
+  KeyDigest last_key;  // largest key of the page; `after` if the page is empty
   bool more = false;
 };
 
-// Bounded by the buckets of a table times the agents of a service. Not thread-safe.
+// Tracks the collection per bucket. A bucket is settled once every other agent has sent all its
+// records of it. Bounded by the number of buckets times the number of agents of the service. Not
+// thread-safe.
 class BucketCollections {
  public:
   explicit BucketCollections(base::Duration resend_interval) : resend_interval_(resend_interval) {}
 
-  // This agent owns the bucket at this version: all `others` must answer before it is settled. Does
-  // nothing for the version that it was called with last. Returns whether it is settled at once.
+  // Starts collecting for a bucket that this agent owns at this version: it is settled once all
+  // `others` have answered. Does nothing if the version is the same as in the last call. Returns
+  // whether the bucket is settled immediately.
   bool Require(base::BucketIndex bucket, const routing::TableVersion& version,
                const std::vector<base::NodeId>& others, base::TimePoint now);
 
-  // This agent doesn't own the bucket.
+  // Stops collecting for a bucket that this agent does not own.
   void Drop(base::BucketIndex bucket) { collections_.erase(bucket); }
 
-  // Agents that are not among `others` any more don't answer: nothing is expected of them. Returns
-  // whether that settled a bucket.
+  // Stops waiting for agents that are not in `others`. Returns whether that settled a bucket.
   bool DropAgentsNotIn(const std::vector<base::NodeId>& others);
 
   bool IsSettled(base::BucketIndex bucket, const routing::TableVersion& version) const;
@@ -60,16 +62,17 @@
   // Returns whether every required bucket is settled.
   bool AllSettled() const;
 
-  // Takes a page; unless it is unexpected, the caller takes in its records before it decides.
+  // Processes a page. Unless the result is kUnexpected, the caller must merge the page's records
+  // before it decides on keys.
   CollectionProgress AddPage(const CollectionPage& page);
 
-  // Returns the queries that are due, again where no answer came.
+  // Returns the queries that are due, including repetitions of unanswered ones.
   std::vector<CollectionQuery> TakeDue(base::TimePoint now);
 
  private:
   struct Collection {
     routing::TableVersion version;
-    absl::flat_hash_map<base::NodeId, KeyDigest> cursors;  // of those yet to answer in full
+    absl::flat_hash_map<base::NodeId, KeyDigest> cursors;  // of agents with records left to send
     base::TimePoint query_at{};
   };
 
--- a/libs/requests/src/hand_over.cpp
+++ b/libs/requests/src/hand_over.cpp
@@ -15,8 +15,9 @@
       origin_(self, incarnation, limits, loads_, random),
       executor_(self, incarnation, limits) {}
 
-// An agent that left the table may still finish what it has: only its peer_timeout, or a newer
-// life, ends that. A draining agent is no longer listed, and is just the one that hands over.
+// An agent that left the table may still finish its hand-overs; they end only when it is silent or
+// a newer incarnation appears. In particular, a draining agent is no longer listed, yet it is the
+// one that hands requests over.
 HandOverActions HandOver::SetTable(const std::shared_ptr<const routing::BucketTable>& table,
                                    base::TimePoint now) {
   HandOverActions actions;
--- a/libs/requests/src/hand_over_executor.cpp
+++ b/libs/requests/src/hand_over_executor.cpp
@@ -10,7 +10,7 @@
 constexpr Refusal kTableFullRefusal{RequestOutcome::kNotRun, RefusalReason::kQueueFull,
                                     base::Duration(1'000'000)};
 
-// Adds an empty message of this hand-over for the origin.
+// Appends an empty message of this hand-over to the origin.
 proto::HandOverMessage* AddMessage(const HandOverId& id, HandOverActions& actions) {
   actions.send.push_back({id.origin, {}});
   proto::HandOverMessage* const message = actions.send.back().message.mutable_hand_over();
@@ -39,7 +39,7 @@
       limits_(limits),
       deduplicator_(limits.remembered_per_origin, limits.remembered_origins) {}
 
-// Without the check of lives, a hand-over is known by its origin and number alone.
+// If incarnations are not checked, a hand-over is identified by its origin and number only.
 HandOverId HandOverExecutor::KeyOf(const HandOverId& id) const {
   return limits_.mechanisms.check_incarnation
              ? id
@@ -141,7 +141,7 @@
                                        const proto::HandOverFrame& frame,
                                        HandOverActions& actions) const {
   if (run.has_ended) {
-    return;  // the endpoint answered early: the rest of the body is for nobody
+    return;  // the answer is complete; the rest of the body is not needed
   }
   if (frame.has_end()) {
     actions.executor.push_back({id, BodyEnded{}});
--- a/libs/requests/src/hand_over_origin.cpp
+++ b/libs/requests/src/hand_over_origin.cpp
@@ -10,7 +10,7 @@
 
 constexpr base::Duration kRetryAfter{1'000'000};
 
-// Adds an empty message of this hand-over for the executor.
+// Appends an empty message of this hand-over to the executor.
 proto::HandOverMessage* AddMessage(const HandOverId& id, HandOverActions& actions) {
   actions.send.push_back({id.executor, {}});
   proto::HandOverMessage* const message = actions.send.back().message.mutable_hand_over();
@@ -34,7 +34,7 @@
       random_(random),
       retry_budget_(limits.retry_share, limits.retry_burst) {}
 
-// A request's body waits for the executor's credit.
+// The request body is sent only after the executor has granted credit.
 FrameSender HandOverOrigin::NewBody() const {
   return {0, limits_.resend_interval, limits_.heartbeat_interval};
 }
@@ -154,7 +154,7 @@
   }
   Exchange* const exchange = Find(sender, id);
   if (exchange == nullptr) {
-    // It ended here, or belonged to a previous incarnation: the executor must not go on for it.
+    // The hand-over has ended or belonged to a previous incarnation: the executor must stop it.
     if (!message.has_gone() && sender == id.executor) {
       SendClose(id, actions);
     }
@@ -205,12 +205,13 @@
     actions.origin.push_back({id, AnswerEnded{}});
     End(id, actions);
   } else {
-    // Cut, or frames in an order that makes no answer.
+    // The answer was aborted, or its frames are not in a valid order.
     OnExecutorLost(exchange, now, actions);
   }
 }
 
-// Only a refusal that says "not run" before any of the body was consumed leaves the request whole.
+// A request can be offered to another peer only if the refusal says "not run" and none of the body
+// was consumed.
 void HandOverOrigin::OnRefusal(Exchange& exchange, const Refusal& refusal, base::TimePoint now,
                                HandOverActions& actions) {
   const bool was_not_run = refusal.outcome == RequestOutcome::kNotRun;
@@ -227,7 +228,7 @@
   Refuse(exchange.request.id, refusal, actions);
 }
 
-// The executor is gone, or can't tell: the request may have run.
+// The executor is lost or does not know the outcome: the request may have run.
 void HandOverOrigin::OnExecutorLost(Exchange& exchange, base::TimePoint now,
                                     HandOverActions& actions) {
   const RequestId id = exchange.request.id;
--- a/libs/requests/src/history_completeness.cpp
+++ b/libs/requests/src/history_completeness.cpp
@@ -10,7 +10,7 @@
 }
 
 void HistoryCompleteness::NoteLoss(base::TimePoint last_confirmed_at, base::TimePoint now) {
-  // It may have been lost right after the table was last confirmed.
+  // The agent may have been lost immediately after the table was last confirmed.
   const bool second = last_loss_at_ && last_confirmed_at - *last_loss_at_ < restore_time_;
   if (second) {
     complete_since_ = std::max(complete_since_, now + freshness_);
--- a/libs/requests/src/message_codec.cpp
+++ b/libs/requests/src/message_codec.cpp
@@ -70,7 +70,7 @@
 }
 
 ExecutionRecord DecodeRecord(const proto::Record& message, base::TimePoint now) {
-  // An age that no process can have lived is cut off, so that times don't overflow.
+  // An age that no process can have reached is clamped, so that times do not overflow.
   constexpr std::uint64_t kMaxAgeMilliseconds = 1'000'000'000'000;
   ExecutionRecord record;
   record.key = DecodeKey(message.key());
--- a/libs/requests/src/message_codec.h
+++ b/libs/requests/src/message_codec.h
@@ -1,4 +1,4 @@
-// Conversions between the core's types and its messages; private to the library.
+// Conversion between the library's types and its messages; private to the library.
 #pragma once
 
 #include "gaugevalve/requests/execution_record.h"
@@ -7,10 +7,10 @@
 
 namespace gaugevalve::requests {
 
-// Writes the record; its age is relative to `now`.
+// Encodes the record; its age is relative to `now`.
 void EncodeRecord(const ExecutionRecord& record, base::TimePoint now, proto::Record* message);
 
-// Reads a record. A state of a later release reads as kUnknown, which is always safe.
+// Decodes a record. A state from a later release is decoded as kUnknown, which is always safe.
 ExecutionRecord DecodeRecord(const proto::Record& message, base::TimePoint now);
 
 void EncodeKey(const KeyDigest& key, proto::Key* message);
--- a/libs/requests/src/peer_loads.cpp
+++ b/libs/requests/src/peer_loads.cpp
@@ -74,7 +74,7 @@
   if (candidates.empty()) {
     return std::nullopt;
   }
-  std::sort(candidates.begin(), candidates.end());  // the hash table's order isn't repeatable
+  std::sort(candidates.begin(), candidates.end());  // hash-table order is not reproducible
   const base::NodeId first = candidates[random.NextBelow(candidates.size())];
   const base::NodeId second = candidates[random.NextBelow(candidates.size())];
   const Peer& one = peers_.at(first);
--- a/libs/requests/src/request_headers.cpp
+++ b/libs/requests/src/request_headers.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kUuidTimeHighDigits = 8;
 constexpr std::size_t kUuidTimeLowDigits = 4;
 
-// Microseconds of one unit; nanoseconds are told apart by a divisor.
+// A unit in microseconds; the divisor expresses nanoseconds.
 struct TimeUnit {
   std::int64_t microseconds = 0;
   std::int64_t divisor = 1;
--- a/libs/requests/src/request_pipeline.cpp
+++ b/libs/requests/src/request_pipeline.cpp
@@ -97,7 +97,7 @@
   }
 }
 
-// A request that admission refused has not reached the endpoint: its key may be used again.
+// A request that admission refused has not reached the endpoint, so its key may be used again.
 void RequestPipeline::OnAdmissionRefusal(const RefusedRequest& refused, base::TimePoint now,
                                          PipelineActions& actions) {
   const bool is_keyed = requests_.at(refused.id).is_keyed;
@@ -167,7 +167,7 @@
   return actions;
 }
 
-// Nothing was sent, so any request may be retried, within the budget and its deadline.
+// Nothing was sent, so any request may be retried, within the retry budget and its deadline.
 bool RequestPipeline::Retry(Request& request, base::TimePoint now, PipelineActions& actions) {
   if (request.stage != Stage::kRunning || request.is_retried || !retry_budget_.TakeRetry()) {
     return false;
@@ -255,8 +255,8 @@
   return actions;
 }
 
-// A started request whose deadline passes before its answer begins is given up at once: its caller
-// is told that the outcome isn't known, and the exchange is broken off.
+// Aborts started requests whose deadline passed before their answer began. Their callers are told
+// immediately that the outcome is unknown.
 void RequestPipeline::AbortOverdue(base::TimePoint now, PipelineActions& actions) {
   std::vector<RequestId> overdue;
   for (const auto& [id, request] : requests_) {
--- a/libs/requests/tests/at_most_once_test.cpp
+++ b/libs/requests/tests/at_most_once_test.cpp
@@ -13,9 +13,9 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kBuckets = 8;
-constexpr KeyDigest kKey{5, 3};  // falls into bucket 3
+constexpr KeyDigest kKey{5, 3};  // hashes to bucket 3
 
-// Three agents whose messages are delivered at once, unless one is cut off.
+// Three agents. Messages are delivered immediately, except to and from an agent that is cut off.
 class AtMostOnceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AtMostOnceTest);
   CPPUNIT_TEST(KeyRunsOnceAndARepeatGetsItsAnswer);
@@ -64,7 +64,7 @@
   }
 
   void AnswerSurvivesTheLossOfTheOwner() {
-    Begin(1, 1);  // owner and executor are one: the copy lies elsewhere
+    Begin(1, 1);  // agent 1 is owner and executor, so another agent holds the copy
     Finish(1, 1, ExecutionState::kAnswered);
     agents_.erase(base::NodeId(1));
     now_ += seconds(60);
@@ -86,7 +86,7 @@
   }
 
   void SecondLossOnlyAffectsOlderKeys() {
-    Begin(2, 1);  // its record is held by 1, the owner, and 2, the executor
+    Begin(2, 1);  // the record is held by 1 (owner) and 2 (executor)
     agents_.erase(base::NodeId(1));
     agents_.erase(base::NodeId(2));
     now_ += seconds(60);
@@ -110,7 +110,7 @@
     SetOwner(2, {2, 3});
     Begin(2, 1);
     CPPUNIT_ASSERT_EQUAL(1, runs_);
-    cut_off_ = base::NodeId();  // agent 1 is back and still believes in its table
+    cut_off_ = base::NodeId();  // agent 1 is reachable again and still uses its old table
     Collect(base::NodeId(1), agents_.at(base::NodeId(1)).SetTable(old_table, now_, now_));
     Begin(1, 2);
     CPPUNIT_ASSERT_EQUAL(1, runs_);
--- a/libs/requests/tests/hand_over_codec_fuzzer.cpp
+++ b/libs/requests/tests/hand_over_codec_fuzzer.cpp
@@ -1,5 +1,6 @@
-// Feeds arbitrary bytes to the decoder of messages between agents and, where it takes them, to an
-// agent's hand-over core: what it accepts must survive a round trip and break nothing.
+// Feeds arbitrary bytes to the decoder of messages between agents. An accepted message must survive
+// a round trip and is passed to the hand-over core of an agent, which must end all runs after a
+// time-out.
 #include <cstdint>
 #include <cstdlib>
 #include <memory>
--- a/libs/requests/tests/hand_over_test.cpp
+++ b/libs/requests/tests/hand_over_test.cpp
@@ -1,4 +1,4 @@
-// Hand-over between two agents over a link that the test holds.
+// Hand-over between two agents over a link that the test controls.
 #include "gaugevalve/requests/hand_over.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -53,9 +53,9 @@
   std::unique_ptr<HandOver> executor_;
   std::vector<OriginEvent> at_origin_;
   std::vector<ExecutorEvent> at_executor_;
-  std::vector<proto::HandOverMessage> offers_;  // as they passed
+  std::vector<proto::HandOverMessage> offers_;  // in the order in which they were sent
 
-  // Delivers what these actions send, and what follows, at once.
+  // Immediately delivers the messages of these actions and all messages that follow from them.
   void Perform(base::NodeId sender, const HandOverActions& actions) {
     at_origin_.insert(at_origin_.end(), actions.origin.begin(), actions.origin.end());
     at_executor_.insert(at_executor_.end(), actions.executor.begin(), actions.executor.end());
@@ -203,7 +203,7 @@
       const auto peer = loads.Choose(HandOverNeed::kShorterWait, {}, random_, now_);
       chosen_busier += peer->node == base::NodeId(3) ? 1 : 0;
     }
-    // Only where both draws fall on it: a quarter.
+    // The busier peer is chosen only if both draws select it: in a quarter of the cases.
     CPPUNIT_ASSERT(chosen_busier > kChoices / 8 && chosen_busier < kChoices * 3 / 8);
   }
 
--- a/libs/requests/tests/request_headers_test.cpp
+++ b/libs/requests/tests/request_headers_test.cpp
@@ -40,7 +40,7 @@
     }
   }
 
-  // The example of RFC 9562, appendix A.6: 2022-02-22 19:22:22 UTC.
+  // Example from RFC 9562, appendix A.6: 2022-02-22 19:22:22 UTC.
   void TimeOfAVersionSevenKeyIsRead() {
     constexpr std::uint64_t kExample = 0x017F22E279B0;
     CPPUNIT_ASSERT(KeyCreationMilliseconds("017F22E2-79B0-7CC3-98C4-DC0C0C07398F") == kExample);
--- a/libs/requests/tests/request_pipeline_test.cpp
+++ b/libs/requests/tests/request_pipeline_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t kSeed = 5;
 
-// A service of one agent, so that a permit is given at once.
+// A service with one agent, so that permits are granted immediately.
 class RequestPipelineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestPipelineTest);
   CPPUNIT_TEST(KeyedRequestTakesASlotOnlyAfterItsPermit);
@@ -75,7 +75,7 @@
   void UnsentRequestIsRetriedOnceWithinTheBudget() {
     AddRequest(1);
     CPPUNIT_ASSERT(End(1, EndpointResult::kNotSent).refused.at(0).refusal.outcome ==
-                   RequestOutcome::kNotRun);  // half a retry was earned
+                   RequestOutcome::kNotRun);  // only half a retry was available
     AddRequest(2);
     CPPUNIT_ASSERT(End(2, EndpointResult::kNotSent).start == std::vector<RequestId>{RequestId(2)});
     const PipelineActions again = End(2, EndpointResult::kNotSent);
--- a/proofs/at_most_once/at_most_once_proof.cpp
+++ b/proofs/at_most_once/at_most_once_proof.cpp
@@ -1,8 +1,9 @@
-// "A reservation or slot request that may not be repeated runs at most once": a keyed request of
-// libs/requests, through kills, freezes, wake-ups, lost, late and doubled messages, wrong
-// suspicions and tables that reach agents at different times.
+// Checks that a keyed request of libs/requests is executed at most once despite killed and frozen
+// agents, lost, delayed and duplicated messages, false suspicions and tables that reach agents at
+// different times. This is the guarantee "A reservation or slot request that may not be repeated
+// runs at most once".
 //
-// Oracle: each key has a count of executions that happened or may have happened; it never
+// Oracle: each key has a count of executions that happened or may have happened; the count never
 // exceeds 1.
 
 #include <rapidcheck.h>
@@ -45,7 +46,7 @@
   kDeliverMessage,
 };
 
-// How often each kind comes, out of the sum.
+// Relative frequency of each kind of event.
 struct EventWeight {
   EventKind kind;
   std::uint32_t weight;
@@ -77,7 +78,7 @@
   return sum;
 }
 
-// Returns the kind that a number below the sum of weights stands for.
+// Maps a number below the sum of weights to an event kind.
 EventKind KindOf(std::uint32_t number) {
   for (const EventWeight& entry : kEventWeights) {
     if (number < entry.weight) {
@@ -88,7 +89,8 @@
   return EventKind::kDeliverMessage;
 }
 
-// One event, chosen by number so that shrinking finds a short and simple history.
+// One event. Its kind and arguments are numbers, so that shrinking finds a short and simple
+// sequence.
 struct Event : rc::state::Command<NoModel, Cluster> {
   std::uint32_t number = *rc::gen::inRange<std::uint32_t>(0, SumOfWeights());
   std::uint32_t first = *rc::gen::inRange<std::uint32_t>(0, 64);
@@ -177,7 +179,7 @@
           {.counter_example = "", .coverage = [totals] { return CoverageOf(*totals); }}};
 }
 
-// Registers the property without one mechanism.
+// Registers the property with one mechanism disabled; it must fail.
 testing::RegisteredProof MutantWithout(std::string name, bool AtMostOnceMechanisms::*mechanism) {
   return {std::move(name), testing::ProofKind::kMutantIsCaught, [mechanism] {
             AtMostOnceMechanisms mechanisms;
--- a/proofs/at_most_once/cluster.cpp
+++ b/proofs/at_most_once/cluster.cpp
@@ -43,7 +43,7 @@
 }
 
 void Cluster::StartIncarnation(base::NodeId node) {
-  // Clocks are apart by less than the margin that is allowed for.
+  // Clocks differ by less than the allowed clock_margin.
   const base::Duration clock_error =
       milliseconds(300) * (next_incarnation_ % 3) - milliseconds(300);
   Agent agent;
@@ -108,7 +108,7 @@
   if (outcome % kRunEnds == 1) {
     state = requests::ExecutionState::kUnknown;
   } else if (outcome % kRunEnds == 2) {
-    state = requests::ExecutionState::kNotRun;  // the endpoint refused it: it may run again
+    state = requests::ExecutionState::kNotRun;  // the endpoint refused it, so it may run again
     --keys_[ended.key].executions;
   }
   Apply(ended.agent, agent->core->Finish(ended.id, state, {201, "", ""}, now_));
@@ -141,7 +141,7 @@
   Agent* const receiver = ActiveAgent(message.outgoing.destination);
   const bool waits = receiver == nullptr && LiveAgent(message.outgoing.destination) != nullptr;
   if (waits) {
-    return;  // in the frozen process's socket
+    return;  // the message stays in the socket of the frozen process
   }
   messages_.erase(messages_.begin() + static_cast<std::ptrdiff_t>(index));
   if (receiver != nullptr) {
@@ -157,7 +157,7 @@
 }
 
 void Cluster::DeliverAll() {
-  // What the deliveries themselves send is delivered too, up to a bound.
+  // Messages sent in response are delivered too, up to a bound.
   constexpr int kMaxDeliveries = 2'000;
   std::size_t index = 0;
   for (int delivery = 0; delivery < kMaxDeliveries && index < messages_.size(); ++delivery) {
@@ -259,8 +259,8 @@
   });
 }
 
-// Lets messages through until all copies are restored: what the stated limits assume happens within
-// restore_time of a loss. Frozen agents that are listed are woken for it.
+// Delivers messages until all copies are restored. The documented limits of the guarantee assume
+// that this happens within restore_time of a loss. Frozen agents that are listed are thawed first.
 void Cluster::Quiesce() {
   constexpr int kMaxRounds = 50;
   for (int round = 0; round < kMaxRounds; ++round) {
--- a/proofs/at_most_once/cluster.h
+++ b/proofs/at_most_once/cluster.h
@@ -1,5 +1,5 @@
-// A service of a few agents with everything that can go wrong between them, and the oracle that
-// counts executions.
+// Simulates a service of several agents with faults of the agents and the network, and counts the
+// executions of each key.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,21 @@
 
 namespace gaugevalve::proofs {
 
-// What happened to a cluster, to show that a property wasn't about nothing.
+// Numbers of events in a run, to check that the property was actually exercised.
 struct ClusterCounts {
   std::size_t requests = 0;  // that reached a live agent
   std::size_t repeats = 0;   // of these, with a key that ran or may have run
-  std::size_t runs = 0;      // executions that an agent began
-  std::size_t kills = 0;     // of agents that lived
+  std::size_t runs = 0;      // executions that an agent started
+  std::size_t kills = 0;     // of live agents
 };
 
-// The system under test. Every method is one event that may come at any moment; the numbers choose
-// among what is there. Execution counts are checked as they happen.
+// The system under test. Each method is one event that may occur at any time; its numbers select
+// among the existing agents, keys, runs and messages. Execution counts are checked as they change.
 class Cluster {
  public:
   explicit Cluster(const requests::AtMostOnceMechanisms& mechanisms);
 
-  // A caller sends a request with one of a few keys to an agent; `is_new_key` begins a new key.
+  // A caller sends a request to an agent, with an existing key or, if `is_new_key`, with a new one.
   void Request(std::uint32_t agent, std::uint32_t key, bool is_new_key);
   void FinishRun(std::uint32_t run, std::uint32_t outcome);
   void AbandonRequest(std::uint32_t request);
@@ -35,19 +35,19 @@
   void LoseMessage(std::uint32_t message);
   void DuplicateMessage(std::uint32_t message);
 
-  // The planner gives a bucket to another agent; tables reach agents only by DeliverTable().
+  // The planner moves a bucket to another agent. Tables reach agents only through DeliverTable().
   void MoveBucket(std::uint32_t bucket, std::uint32_t agent);
   void DeliverTable(std::uint32_t agent);
 
-  // The process dies and its memory with it; it may start again as a new life.
+  // The process dies and loses its memory; it may restart as a new incarnation.
   void Kill(std::uint32_t agent);
   void Restart(std::uint32_t agent);
 
-  // The process stands still, or goes on, without noticing.
+  // The process freezes or continues, without noticing the pause.
   void Freeze(std::uint32_t agent);
   void Thaw(std::uint32_t agent);
 
-  // The planner takes an agent that it can't reach out of the table, rightly or not.
+  // The planner removes an agent that it cannot reach from the table; the agent may be live.
   void RemoveFromTable(std::uint32_t agent);
 
   void AdvanceTime(std::uint32_t milliseconds);
@@ -58,7 +58,7 @@
   const ClusterCounts& Counts() const { return counts_; }
 
  private:
-  // One life of an agent, as long as its memory exists.
+  // One incarnation of an agent, while its memory exists.
   struct Agent {
     base::Incarnation incarnation;
     std::unique_ptr<requests::AtMostOnce> core;
@@ -80,7 +80,7 @@
   struct Key {
     requests::KeyDigest digest;
     base::TimePoint created_at;
-    int executions = 0;  // that happened or may have happened
+    int executions = 0;  // number of executions that happened or may have happened
   };
 
   base::NodeId NodeAt(std::uint32_t number) const;
--- a/proofs/flow_ownership/src/flow_ownership_proof.cpp
+++ b/proofs/flow_ownership/src/flow_ownership_proof.cpp
@@ -1,6 +1,7 @@
-// Stateful fuzzing of the agents' flow cores: no flow is ever served by two agents, whatever the
-// network, the planner, the machines and the clocks do. Each protection is also taken away in turn;
-// the rules must then be seen broken, or the proof is worth nothing.
+// Stateful fuzzing of the agents' flow cores. Checks that no flow is ever served by two agents,
+// whatever the network, the planner, the machines and the clocks do. Each protection is also
+// disabled in turn; the oracle must then report a violation, which shows that the check is
+// effective.
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
@@ -19,12 +20,12 @@
 
 constexpr std::uint64_t kSeed = 20261202;
 constexpr int kSequences = 20'000;
-constexpr int kMutantSequences = 20'000;  // at most: the first broken rule ends the search
+constexpr int kMutantSequences = 20'000;  // maximum; the first violation ends the search
 constexpr int kMaxSequenceLength = 160;
 constexpr int kNumberRange = 64;
 
-// Returns the number in an environment variable, for longer searches and other seeds, or the one
-// that CI goes by.
+// Returns the number in an environment variable, which allows longer searches and other seeds, or
+// the default that CI uses.
 std::uint64_t NumberFromEnvironment(const char* variable, std::uint64_t default_value) {
   const char* const text = std::getenv(variable);
   return text == nullptr ? default_value : std::stoull(text);
@@ -60,12 +61,12 @@
   return stream << kNames.at(static_cast<std::size_t>(kind));
 }
 
-// The oracle is in the simulation; any step may follow any other.
+// The oracle is part of the simulation; any step may follow any other.
 struct Model {};
 
 using SimulationCommand = rc::state::Command<Model, FlowSimulation>;
 
-// One step of the adversary, of any kind.
+// One step of the adversary.
 class Step final : public SimulationCommand {
  public:
   Step()
@@ -163,7 +164,7 @@
   std::size_t age_;
 };
 
-// Runs random sequences; returns what RapidCheck found.
+// Runs random sequences and returns the result of RapidCheck.
 rc::detail::TestResult Search(Mutant mutant, int sequences, bool shrink, SimulationCounts& counts) {
   rc::detail::TestParams params;
   params.seed = NumberFromEnvironment("FLOW_OWNERSHIP_SEED", kSeed);
@@ -231,8 +232,9 @@
   void IgnoringFreshnessIsDetected() { AssertDetected(Mutant::kIgnoresFreshness, "out of date"); }
   void IgnoringPausesIsDetected() { AssertDetected(Mutant::kIgnoresPause, "opened a flow"); }
 
-  // Too rare for the random search, so the steps are given: an agent acknowledges that it lost a
-  // bucket, reports that it holds nothing there, and restarts. Its new life hears of an old table.
+  // The random search rarely finds this sequence, so its steps are fixed: an agent acknowledges
+  // that it lost a bucket, reports that it holds no flow there, and restarts. Its new incarnation
+  // then receives an old table.
   void IgnoringIncarnationsIsDetected() {
     CPPUNIT_ASSERT(!RestartWithOldTable(Mutant::kNone));
     CPPUNIT_ASSERT_EQUAL(std::string("agent 1 opened the flow of agent 0"),
@@ -244,7 +246,7 @@
   }
   void DeclaringDeadAtOnceIsDetected() {
     AssertDetected(Mutant::kDeclaresDeadAtOnce,
-                   "was taken for dead, hasn't heard of it and opened");
+                   "was declared dead, has not learned of it and opened");
   }
   void TrustingOldReportsIsDetected() {
     AssertDetected(Mutant::kTrustsOldReports, "opened the flow of agent");
@@ -278,7 +280,7 @@
     simulation.SetBalancerTable(0, 1);
     simulation.Send(kFlow, 0);
     simulation.DeliverLatest();
-    simulation.Deliver(0);  // the report of the former life
+    simulation.Deliver(0);  // report of the previous incarnation
     simulation.SendTable(1, 0);
     simulation.DeliverLatest();
     simulation.SetBalancerTable(0, 0);
@@ -291,7 +293,7 @@
     std::cout << "\nseed " << NumberFromEnvironment("FLOW_OWNERSHIP_SEED", kSeed) << ", "
               << sequences << " sequences: " << counts.opened << " flows opened, " << counts.served
               << " datagrams served (" << counts.served_on_walk << " on a walk, "
-              << counts.recovered << " put back), " << counts.passed_on << " passed on\n";
+              << counts.recovered << " recovered), " << counts.passed_on << " passed on\n";
     for (std::size_t reason = 0; reason < counts.dropped.size(); ++reason) {
       std::cout << "  dropped, " << ToString(static_cast<flow::DropReason>(reason)) << ": "
                 << counts.dropped.at(reason) << "\n";
--- a/proofs/flow_ownership/src/flow_simulation.cpp
+++ b/proofs/flow_ownership/src/flow_simulation.cpp
@@ -10,9 +10,9 @@
 
 constexpr base::ServiceId kService(7);
 constexpr base::ServiceId kOtherService(8);
-constexpr std::size_t kMaxMessages = 64;  // the network loses the oldest beyond that
+constexpr std::size_t kMaxMessages = 64;  // beyond that the network loses the oldest one
 constexpr base::Duration kFreshnessLimit = flow::OwnershipSettings().freshness_limit;
-// The shortest silence after which membership may declare a death.
+// Shortest silence after which membership may declare an agent dead.
 constexpr base::Duration kMinSilence = std::chrono::milliseconds(1400);
 
 base::SocketAddress AddressOf(std::size_t agent) {
@@ -108,9 +108,9 @@
 
 void FlowSimulation::DeclareDead(std::size_t agent) {
   const base::TimePoint confirmed_at = LastConfirmation(agent, planner_.Tables().size());
-  const base::Duration silence =
+  const base::Duration min_silence =
       mutant_ == Mutant::kDeclaresDeadAtOnce ? kMinSilence : routing::kDeadAgentHold;
-  const bool was_silent = now_ - confirmed_at > silence;
+  const bool was_silent = now_ - confirmed_at > min_silence;
   if (!planner_.Lists(NodeOf(agent)) || (!was_silent && !agents_[agent].IsFrozenForLong(now_))) {
     return;
   }
@@ -119,18 +119,19 @@
 }
 
 void FlowSimulation::List(std::size_t agent) {
-  const SimulatedAgent& life = agents_[agent];
-  if (life.State() == ProcessState::kGone || life.Service() != kService) {
+  const SimulatedAgent& candidate = agents_[agent];
+  if (candidate.State() == ProcessState::kGone || candidate.Service() != kService) {
     return;
   }
-  planner_.List({life.Node(), life.CurrentIncarnation(), AddressOf(agent), ""});
+  planner_.List({candidate.Node(), candidate.CurrentIncarnation(), AddressOf(agent), ""});
 }
 
 void FlowSimulation::SendTable(std::size_t agent, std::size_t age) {
   const std::vector<TablePointer>& tables = planner_.Tables();
   const std::size_t index = tables.size() - 1 - age % tables.size();
   const bool is_newest = index + 1 == tables.size();
-  // A report was answered: the answer names the table that first listed this life of the agent.
+  // The planner answered a report: the answer names the table that first listed this incarnation of
+  // the agent.
   if (is_newest) {
     confirmations_[agent][planner_.ListedSince(NodeOf(agent))] = now_;
   }
@@ -290,7 +291,7 @@
   }
 }
 
-// Spreads tables and reports until the planner changes nothing more.
+// Delivers tables and reports until the planner makes no more changes.
 void FlowSimulation::PropagateAll() {
   constexpr int kRounds = 3;
   for (int round = 0; round < kRounds; ++round) {
@@ -323,16 +324,16 @@
   }
   const auto* const reason = last_action_ ? std::get_if<flow::DropReason>(&*last_action_) : nullptr;
   if (reason != nullptr && *reason == flow::DropReason::kDraining && !holder) {
-    return;  // refused, as the planner left the bucket with a leaving agent
+    return;  // refused because the planner left the bucket with a draining agent
   }
   std::ostringstream rule;
   if (!last_action_ || !std::holds_alternative<flow::Relay>(*last_action_)) {
-    rule << "flow " << flow << " isn't served once all has settled: "
+    rule << "flow " << flow << " is not served after the adversary stopped: "
          << (reason == nullptr ? "lost" : ToString(*reason)) << " at agent " << at;
     RecordViolation(rule.str());
   } else if (holder && *holder != at) {
-    rule << "flow " << flow << " is broken: agent " << *holder << " holds it, agent " << at
-         << " served it";
+    rule << "flow " << flow << " is served by the wrong agent: agent " << *holder
+         << " holds it, agent " << at << " served it";
     RecordViolation(rule.str());
   }
 }
--- a/proofs/flow_ownership/src/flow_simulation.h
+++ b/proofs/flow_ownership/src/flow_simulation.h
@@ -1,5 +1,5 @@
-// A service in the hands of an adversary: agents, balancers with old tables, a network that delays,
-// doubles and loses, and a planner that moves buckets all the time.
+// Simulates a service under an adversary: agents, balancers with old tables, a network that delays,
+// duplicates and loses messages, and a planner that moves buckets all the time.
 #pragma once
 
 #include <array>
@@ -23,19 +23,19 @@
 
 namespace gaugevalve::proofs {
 
-// What happened in a run, to see that the proof isn't of nothing.
+// Numbers of events in a run, to check that the property was actually exercised.
 struct SimulationCounts {
   std::uint64_t opened = 0;
   std::uint64_t served = 0;
   std::uint64_t served_on_walk = 0;
   std::uint64_t passed_on = 0;
-  std::uint64_t recovered = 0;  // flows that came back after their agent was taken for dead
+  std::uint64_t recovered = 0;  // flows served again after their agent was declared dead
   std::array<std::uint64_t, flow::kDropReasonCount> dropped{};
 
   void Add(const SimulationCounts& other);
 };
 
-// Drives the agents' flow cores. Each method is one step of the adversary; numbers that are too
+// Drives the agents' flow cores. Each method is one step of the adversary. Numbers that are too
 // large wrap around, so any sequence of steps is valid.
 class FlowSimulation {
  public:
@@ -49,29 +49,28 @@
   // Returns the bucket of a flow.
   static std::size_t BucketOf(std::size_t flow);
 
-  // A client sends a datagram of the flow, which the fabric gives to this balancer.
+  // A client sends a datagram of the flow, which the network routes to this balancer.
   void Send(std::size_t flow, std::size_t balancer);
 
-  // The network delivers one of its messages, the `number`-th; where its receiver is frozen it
-  // stays.
+  // The network delivers its `number`-th message; if the receiver is frozen, the message stays.
   void Deliver(std::size_t number);
-  void DeliverLatest();  // the message that was sent last
+  void DeliverLatest();  // the most recently sent message
   void Duplicate(std::size_t number);
   void Lose(std::size_t number);
 
-  // The planner's steps.
+  // Steps of the planner.
   void Move(std::size_t bucket, std::size_t agent);
-  void DeclareDead(std::size_t agent);  // only one that was silent or frozen for long enough
-  void List(std::size_t agent);         // the agent's present life, if it runs for the service
+  void DeclareDead(std::size_t agent);  // only an agent that was silent or frozen for long enough
+  void List(std::size_t agent);  // the agent's current incarnation, if it runs for the service
 
-  // A table, the `age`-th newest, is sent to an agent; or is at once what a balancer has. The
-  // newest is the planner's own word, by which the agent knows that it counted as alive at this
-  // time; an older one comes from a peer and confirms nothing more than the planner had, of it or
-  // its elders.
+  // The `age`-th newest table is sent to an agent, or immediately becomes the table of a balancer.
+  // The newest table comes from the planner and confirms that the agent counted as alive at this
+  // time. An older table comes from a peer and confirms no more than the planner had confirmed for
+  // it or an earlier table.
   void SendTable(std::size_t agent, std::size_t age);
   void SetBalancerTable(std::size_t balancer, std::size_t age);
 
-  // An agent's steps.
+  // Steps of an agent.
   void SendReport(std::size_t agent);
   void Drain(std::size_t agent);
   void Freeze(std::size_t agent);
@@ -79,16 +78,16 @@
   void Crash(std::size_t agent);
   void Restart(std::size_t agent);
 
-  // The agent's machine goes to another service, under the same address and name.
+  // The agent's machine is assigned to another service, with the same address and node id.
   void ReassignToOtherService(std::size_t agent);
 
   void AdvanceTime(base::Duration step);
 
-  // The adversary rests: everything thaws, tables and reports spread. Then each flow must be
-  // served, and by the agent that holds it if there is one.
+  // Stops the adversary: all agents thaw, and tables and reports are delivered. Then checks that
+  // each flow is served, by the agent that holds it if there is one.
   void SettleAndCheck();
 
-  // Returns the first rule that was broken.
+  // Returns the first violated rule.
   const std::optional<std::string>& Violation() const { return violation_; }
 
   const SimulationCounts& Counts() const { return counts_; }
@@ -123,7 +122,7 @@
   PlannerModel planner_;
   std::vector<SimulatedAgent> agents_;
   std::array<std::size_t, kBalancers> balancer_tables_{};
-  // When the planner last confirmed each table to the agent, by the table's number.
+  // Time at which the planner last confirmed each table to the agent, by the table's index.
   std::array<std::map<std::size_t, base::TimePoint>, kAgents> confirmations_;
   std::vector<Message> network_;
   OwnershipOracle oracle_;
--- a/proofs/flow_ownership/src/mutant.h
+++ b/proofs/flow_ownership/src/mutant.h
@@ -1,4 +1,4 @@
-// The protections that the proof takes away, one at a time, to see that it notices.
+// The protections that the proof disables, one at a time, to check that it detects the fault.
 #pragma once
 
 #include <cstdint>
@@ -7,17 +7,19 @@
 
 enum class Mutant : std::uint8_t {
   kNone,
-  kSkipsChainWalk,       // an owner opens without asking the previous owners
-  kForgetsCarriedEntry,  // an agent goes by a newer entry of a datagram but does not remember it
-  kIgnoresOtherClaims,   // the last one on a walk that has the flow serves it, not the rightful one
-  kTrustsHeldFlows,      // an agent serves what it holds, whatever happened to the bucket
-  kIgnoresFreshness,     // an agent opens flows however old its table is
-  kIgnoresPause,         // an agent that was frozen goes on as if it had not been
-  kIgnoresIncarnation,   // an agent takes a table of its former life for its own
-  kAcceptsForeign,       // an agent takes datagrams of other services and agents
-  kDeclaresDeadAtOnce,   // the planner goes by membership's word, which is sooner than a table is
-                         // old
-  kTrustsOldReports,     // the planner lets an agent go on a report older than the bucket's entry
+  kSkipsChainWalk,       // an owner opens a flow without asking the previous owners
+  kForgetsCarriedEntry,  // an agent uses a newer entry of a datagram but does not store it
+  kIgnoresOtherClaims,   // the last agent of a walk that has the flow serves it, instead of the one
+                         // with the best claim
+  kTrustsHeldFlows,      // an agent serves every flow it holds, even if the bucket has moved
+  kIgnoresFreshness,     // an agent opens flows regardless of the age of its table
+  kIgnoresPause,         // an agent that was frozen continues as if it had not been
+  kIgnoresIncarnation,   // an agent accepts a table that lists its previous incarnation
+  kAcceptsForeign,       // an agent accepts datagrams of other services and agents
+  kDeclaresDeadAtOnce,   // the planner acts on membership's report, before the agent's table is
+                         // stale
+  kTrustsOldReports,     // the planner removes an agent from a chain on a report older than the
+                         // bucket's entry
 };
 
 }  // namespace gaugevalve::proofs
--- a/proofs/flow_ownership/src/ownership_oracle.cpp
+++ b/proofs/flow_ownership/src/ownership_oracle.cpp
@@ -22,7 +22,7 @@
   }
   if (IsUnaware(agent)) {
     if (is_new) {
-      rule << "agent " << agent << " was taken for dead, hasn't heard of it and opened a flow";
+      rule << "agent " << agent << " was declared dead, has not learned of it and opened a flow";
       return rule.str();
     }
     return std::nullopt;
@@ -43,9 +43,9 @@
     return std::nullopt;
   }
   const SimulatedAgent& agent = agents_[found->second.agent];
-  const bool lives = agent.State() != ProcessState::kGone &&
-                     agent.CurrentIncarnation() == found->second.incarnation;
-  return lives && agent.Holds(key) ? std::optional(found->second.agent) : std::nullopt;
+  const bool is_alive = agent.State() != ProcessState::kGone &&
+                        agent.CurrentIncarnation() == found->second.incarnation;
+  return is_alive && agent.Holds(key) ? std::optional(found->second.agent) : std::nullopt;
 }
 
 bool OwnershipOracle::IsUnaware(std::size_t agent) const {
--- a/proofs/flow_ownership/src/ownership_oracle.h
+++ b/proofs/flow_ownership/src/ownership_oracle.h
@@ -1,4 +1,4 @@
-// What must hold of flows, whatever happens: one agent serves a flow.
+// Invariant of flow ownership: a flow is served by one agent only.
 #pragma once
 
 #include <map>
@@ -13,38 +13,40 @@
 
 namespace gaugevalve::proofs {
 
-// Sees every datagram that an agent gives to its endpoint and says what rule that broke. The rules:
-// - A flow that a live agent holds isn't opened or served by another.
+// Observes every datagram that an agent relays to its endpoint and reports the rule that this
+// violates:
+// - A flow that a live agent holds is not opened or served by another agent.
 // - An agent opens no flow while its table may be out of date.
-// - Nothing reaches an agent of another service.
-// An agent that the planner took for dead has lost its flows to whoever opens them. Until it has
-// heard of that, it may still serve what it holds - nothing could keep it from that - but open
-// nothing; once it has heard, the rules apply to it as to all.
+// - No datagram is relayed by an agent of another service.
+// An agent that the planner declared dead has lost its flows to any agent that opens them. Until it
+// learns of that, it may still serve the flows it holds, because nothing can prevent that, but it
+// may open none. Once it has learned of it, the rules apply to it as to all agents.
 class OwnershipOracle {
  public:
-  // `agents` are those of the simulation, which outlives this.
+  // `agents` are the agents of the simulation and must outlive this object.
   OwnershipOracle(const std::vector<SimulatedAgent>& agents, base::ServiceId service,
                   base::Duration freshness_limit)
       : agents_(agents), service_(service), freshness_limit_(freshness_limit) {}
 
-  // Notes that the table of this version leaves the agent out.
+  // Records that the table of this version excludes the agent.
   void NoteDeclaredDead(std::size_t agent, const routing::TableVersion& version);
 
-  // Notes that the agent relayed a datagram of the flow. Returns the rule that this broke.
+  // Records that the agent relayed a datagram of the flow. Returns the rule that this violates, if
+  // any.
   std::optional<std::string> NoteRelayed(std::size_t agent, const wire::FlowKey& key, bool is_new,
                                          base::TimePoint now);
 
-  // Returns the agent that holds the flow and must go on serving it, if there is one.
+  // Returns the agent that holds the flow and must continue to serve it, if there is one.
   std::optional<std::size_t> HolderOf(const wire::FlowKey& key) const;
 
  private:
-  // A life of an agent.
+  // An incarnation of an agent.
   struct Holder {
     std::size_t agent = 0;
     base::Incarnation incarnation;
   };
 
-  // A life that was taken for dead, and the table that said so.
+  // An incarnation that was declared dead, and the version of the table that excluded it.
   struct DeathNotice {
     base::Incarnation incarnation;
     routing::TableVersion version;
--- a/proofs/flow_ownership/src/planner_model.h
+++ b/proofs/flow_ownership/src/planner_model.h
@@ -1,4 +1,5 @@
-// A planner that makes any change the architecture allows: the adversary of the agents.
+// Model of a planner that makes any change the architecture allows; acts as the adversary of the
+// agents.
 #pragma once
 
 #include <cstddef>
@@ -14,36 +15,36 @@
 
 using TablePointer = std::shared_ptr<const routing::BucketTable>;
 
-// The only writer of one service's table, with all the tables it ever made. What it keeps to is
-// what ServicePlanner promises: a previous owner leaves a chain only when a report of it that names
-// the bucket's entry, or a later one, shows no flow there, or when it is taken for dead.
+// The only writer of one service's table; keeps all tables it has published. It guarantees what
+// ServicePlanner guarantees: a previous owner leaves a chain only if it is declared dead, or if it
+// sends a report that names the bucket's entry or a later one and shows no flow in the bucket.
 class PlannerModel {
  public:
   PlannerModel(base::ServiceId service, std::size_t bucket_count, Mutant mutant);
 
-  // Lists a life of an agent, in place of an older one.
+  // Lists an incarnation of an agent and replaces an older one.
   void List(const routing::AgentEntry& agent);
 
-  // Takes an agent for dead: it owns nothing and is in no chain. Another listed agent takes its
-  // buckets.
+  // Declares an agent dead: it is removed from all buckets and chains. Another listed agent takes
+  // over its buckets.
   void DeclareDead(base::NodeId node);
 
   // Moves a bucket to a listed agent, unless its chain is full.
   void Move(std::size_t bucket, base::NodeId node);
 
-  // Takes a report: shortens chains, and names an agent again that holds flows.
+  // Processes a report: shortens chains, and adds an agent that holds flows back to the chain.
   void TakeReport(const routing::AgentReport& report);
 
-  // Tells whether the newest table lists the agent.
+  // Returns whether the newest table lists the agent.
   bool Lists(base::NodeId node) const { return Newest().FindAgent(node) != nullptr; }
 
-  // Returns the index of the first of the tables that list the newest one's life of the agent
-  // without a break; the newest table's when it doesn't list the agent.
+  // Returns the index of the first table since which every table lists the agent's current
+  // incarnation; the index of the newest table if that does not list the agent.
   std::size_t ListedSince(base::NodeId node) const;
 
   const routing::BucketTable& Newest() const { return *tables_.back(); }
 
-  // All tables made, oldest first; never empty.
+  // All published tables, oldest first; never empty.
   const std::vector<TablePointer>& Tables() const { return tables_; }
 
  private:
--- a/proofs/flow_ownership/src/simulated_agent.h
+++ b/proofs/flow_ownership/src/simulated_agent.h
@@ -1,4 +1,4 @@
-// An agent of the simulation: a flow core with a life that can be frozen, lost and begun again.
+// An agent of the simulation: a flow core whose process can be frozen, crashed and restarted.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +14,26 @@
 
 namespace gaugevalve::proofs {
 
-// Whether a process runs on the agent's machine.
+// State of the agent's process.
 enum class ProcessState : std::uint8_t { kRunning, kFrozen, kGone };
 
-// One agent by its name; each Start() is a new life with nothing kept from the former.
+// One agent, identified by its node id. Each Start() creates a new incarnation that keeps nothing
+// of the previous one.
 class SimulatedAgent {
  public:
   SimulatedAgent(base::NodeId node, Mutant mutant) : node_(node), mutant_(mutant) {}
 
-  // Begins a new life, larger in incarnation than the former, as an agent of `service`.
+  // Starts a new incarnation, larger than the previous one, as an agent of `service`.
   void Start(base::ServiceId service);
 
   void Freeze(base::TimePoint now);
   void Thaw() { state_ = state_ == ProcessState::kFrozen ? ProcessState::kRunning : state_; }
   void Crash();
 
-  // Takes a table that was current at `confirmed_at`. Must run.
+  // Applies a table that was current at `confirmed_at`. The process must be running.
   void UpdateTable(const routing::BucketTable& table, base::TimePoint confirmed_at);
 
-  // Decides about a datagram. Must run.
+  // Decides on a datagram. The process must be running.
   flow::FlowAction Decide(const wire::FlowKey& key, wire::ForwardingHeader& header,
                           base::TimePoint now);
 
@@ -40,10 +41,10 @@
   void Tick(base::TimePoint now);
   routing::AgentReport Report() const;
 
-  // Tells whether this life has the flow open; false when gone.
+  // Returns whether this incarnation has the flow open; false if the process is gone.
   bool Holds(const wire::FlowKey& key) const;
 
-  // Tells whether a table at least as new as `version` was taken in this life.
+  // Returns whether this incarnation has applied a table at least as new as `version`.
   bool HasTable(const routing::TableVersion& version) const;
 
   base::NodeId Node() const { return node_; }
@@ -53,10 +54,10 @@
   bool IsRunning() const { return state_ == ProcessState::kRunning; }
   bool IsDraining() const { return core_ && core_->Ownership().IsDraining(); }
 
-  // Tells whether the process is frozen for so long that it will know when it wakes.
+  // Returns whether the process is frozen for so long that it will detect the pause when it thaws.
   bool IsFrozenForLong(base::TimePoint now) const;
 
-  // The newest time at which a table that this life has taken was current.
+  // Latest time at which a table applied by this incarnation was current.
   base::TimePoint ConfirmedAt() const { return confirmed_at_; }
 
  private:
--- a/proofs/hand_over/hand_over_proof.cpp
+++ b/proofs/hand_over/hand_over_proof.cpp
@@ -1,10 +1,12 @@
-// "Each request that is handed over ends exactly once, with a true outcome": requests::HandOver of
-// several agents, through lost, doubled, reordered and late messages, frozen, killed and restarted
-// agents, drains, cancellations, deadlines and pauses of both bodies.
+// Checks the guarantee "Each request that is handed over ends exactly once, with a true outcome" on
+// requests::HandOver of several agents, with lost, duplicated, reordered and delayed messages,
+// frozen, killed and restarted agents, drains, cancellations, deadlines and pauses of request and
+// answer bodies.
 //
-// Oracle (RequestOracle): never told "not run" of what ran or runs later, no second run of an
-// unsafe request, bodies and answers byte for byte, one hop, nothing held past its deadline, tables
-// within their bounds, and everything ends.
+// Oracle (RequestOracle): no request reported as "not run" runs before or after the report; an
+// unsafe request runs at most once; bodies and answers are identical byte for byte; a request is
+// handed over at most once; no request is held past its deadline; tables stay within their bounds;
+// every request ends.
 
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
@@ -19,7 +21,8 @@
 
 struct NoModel {};
 
-// One event, chosen by number so that shrinking finds a short and simple history.
+// One event. Its kind and arguments are numbers, so that shrinking finds a short and simple
+// sequence.
 struct Event : rc::state::Command<NoModel, HandOverSimulation> {
   std::uint32_t kind = *rc::gen::inRange<std::uint32_t>(0, 38);
   std::uint32_t first = *rc::gen::inRange<std::uint32_t>(0, 64);
@@ -100,7 +103,7 @@
 };
 
 void EndsOnceWithTrueOutcome(const HandOverMechanisms& mechanisms) {
-  // One remembered origin makes an agent forget; plenty is the common case.
+  // With one remembered origin an agent evicts origins; with 8, the more common case, it does not.
   HandOverSimulation simulation(mechanisms, *rc::gen::element<std::size_t>(1, 8, 8, 8));
   rc::state::check(NoModel(), simulation, [](const NoModel& /*model*/) {
     return rc::gen::exec([] {
@@ -118,7 +121,7 @@
                                          testing::ProofKind::kHolds,
                                          [] { EndsOnceWithTrueOutcome(HandOverMechanisms()); });
 
-// Registers the property with one mechanism switched off.
+// Registers the property with one mechanism disabled; it must fail.
 testing::RegisteredProof MutantWithout(const char* name, bool HandOverMechanisms::*mechanism) {
   return {name, testing::ProofKind::kMutantIsCaught, [mechanism] {
             HandOverMechanisms mechanisms;
--- a/proofs/hand_over/hand_over_simulation.cpp
+++ b/proofs/hand_over/hand_over_simulation.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kBodySizes[] = {0, 10, requests::kMaxChunkBytes + 5,
                                       requests::kMaxChunkBytes*(requests::kWindowFrames + 2)};
 constexpr std::size_t kPartBytes =
-    3 * requests::kMaxChunkBytes / 2;  // of an answer, written at once
+    3 * requests::kMaxChunkBytes / 2;  // part of a body or an answer that is written in one call
 
 requests::HandOverLimits SmallLimits(const requests::HandOverMechanisms& mechanisms,
                                      std::size_t remembered_origins) {
@@ -129,7 +129,7 @@
   return true;
 }
 
-// Gives the body in parts, as far as there is room.
+// Sends the body in parts until the core reports that it is full.
 void HandOverSimulation::SendBody(base::NodeId node, std::uint64_t request) {
   OracleEntry& entry = oracle_.Of(request);
   Agent* const agent = FindLive(node);
@@ -143,7 +143,7 @@
   }
   if (has_room) {
     agent->core->Origin().FinishBody(IdOf(request), now_, actions);
-    ++entry.body_given;  // beyond the size: the end is given too
+    ++entry.body_given;  // one more than the size: the end was sent too
   }
   Apply(node, actions);
 }
@@ -196,7 +196,7 @@
 void HandOverSimulation::ApplyOriginEvent(base::NodeId node, const requests::OriginEvent& event) {
   const std::uint64_t number = NumberOf(event.request);
   if (!IsCurrentOrigin(oracle_.Of(number), node)) {
-    return;  // handed on by an agent that isn't its caller's
+    return;  // the caller's connection is at another agent
   }
   if (const auto* const bytes = std::get_if<requests::AnswerBytesReceived>(&event.what)) {
     oracle_.OnAnswerBytes(number, bytes->bytes);
@@ -332,9 +332,9 @@
   }
 }
 
-// --- Messages, lives and time ---
+// --- Messages, agents and time ---
 
-// Returns false when the message stays: it waits in a frozen process's socket.
+// Returns false if the message stays in the socket of a frozen process.
 bool HandOverSimulation::DeliverAt(std::size_t index) {
   const base::NodeId destination = messages_[index].outgoing.destination;
   Agent* const receiver = FindRunning(destination);
@@ -398,7 +398,7 @@
   }
   for (std::uint64_t number = 0; number < oracle_.Size(); ++number) {
     if (IsCurrentOrigin(oracle_.Of(number), node)) {
-      oracle_.OnAbandoned(number);  // its caller's connection is gone
+      oracle_.OnAbandoned(number);  // the caller's connection is lost
     }
   }
   agents_.erase(node);
@@ -471,7 +471,7 @@
     const bool is_here =
         FindRunning(entry.origin) != nullptr && IsCurrentOrigin(entry, entry.origin);
     oracle_.Require(entry.has_ended || entry.has_head || !is_here || now_ < entry.deadline,
-                    "held past its deadline");
+                    "a request was held past its deadline");
   }
 }
 
@@ -488,7 +488,7 @@
   for (auto& [node, agent] : agents_) {
     oracle_.Require(agent.core->Origin().Size() <= limits_.origin_capacity &&
                         agent.core->Executor().Size() <= limits_.executor_capacity,
-                    "a table grew beyond its bound");
+                    "a table exceeded its bound");
     for (std::uint32_t peer = 0; peer < kAgents; ++peer) {
       oracle_.Require(agent.core->Loads().InFlight(NodeAt(peer)) <= kMaxInFlight,
                       "too many hand-overs to one peer");
@@ -509,15 +509,15 @@
   messages_.insert(messages_.end(), held_back_.begin(), held_back_.end());
   FinishAllRequests();
   for (std::uint64_t number = 0; number < oracle_.Size(); ++number) {
-    oracle_.Require(oracle_.Of(number).has_ended, "never ended");
+    oracle_.Require(oracle_.Of(number).has_ended, "a request never ended");
   }
   for (auto& [node, agent] : agents_) {
     const bool is_empty = agent.core->Origin().Size() == 0 && agent.core->Executor().Size() == 0;
-    oracle_.Require(is_empty, "a table keeps what has ended");
+    oracle_.Require(is_empty, "a table still holds an ended request");
   }
 }
 
-// Beyond the deadline and two silences.
+// Runs for longer than the deadline and two peer timeouts.
 void HandOverSimulation::FinishAllRequests() {
   constexpr int kRounds = 600;
   for (int round = 0; round < kRounds && Violation().empty(); ++round) {
--- a/proofs/hand_over/hand_over_simulation.h
+++ b/proofs/hand_over/hand_over_simulation.h
@@ -1,4 +1,5 @@
-// A few agents that hand requests to each other, with everything that can go wrong between them.
+// Simulates several agents that hand requests over to each other, with faults of the agents and the
+// network.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +13,27 @@
 
 namespace gaugevalve::proofs {
 
-// The system under test. Every method is one event that may come at any moment; the numbers choose
-// among what is there.
+// The system under test. Each method is one event that may occur at any time; its numbers select
+// among the existing agents, requests, runs and messages.
 class HandOverSimulation {
  public:
   // `remembered_origins` is HandOverLimits::remembered_origins.
   HandOverSimulation(const requests::HandOverMechanisms& mechanisms,
                      std::size_t remembered_origins);
 
-  // A caller's request comes to an agent that can't run it.
+  // A caller sends a request to an agent that cannot run it.
   void Request(std::uint32_t agent, std::uint32_t what);
   void CancelRequest(std::uint32_t request);
   void PauseAnswer(std::uint32_t request, bool is_paused);
 
-  // An endpoint goes on with one of the runs: starts it, answers a part of it, or fails.
+  // An endpoint advances one of its runs: starts it, sends a part of the answer, or fails.
   void AdvanceRun(std::uint32_t run, std::uint32_t outcome);
   void PauseBody(std::uint32_t run, bool is_paused);
 
   void DeliverMessage(std::uint32_t message);
   void DeliverAll();
   void LoseMessage(std::uint32_t message);
-  // A message, or a second one like it, is held back until DeliverHeldBack().
+  // Holds back a message, or a copy of it if `keeps_original`, until DeliverHeldBack().
   void HoldBackMessage(std::uint32_t message, bool keeps_original);
   void DeliverHeldBack(std::uint32_t message);
 
@@ -41,22 +42,22 @@
   void Freeze(std::uint32_t agent);
   void Thaw(std::uint32_t agent);
   void SetDraining(std::uint32_t agent, bool is_draining);
-  // The agent refuses what it is offered, though it announces room.
+  // The agent refuses offers although it announces capacity.
   void SetBusy(std::uint32_t agent, bool is_busy);
-  // The planner lists an agent or doesn't; tables reach agents only by DeliverTable().
+  // The planner adds or removes an agent. Tables reach agents only through DeliverTable().
   void SetListed(std::uint32_t agent, bool is_listed);
   void DeliverTable(std::uint32_t agent);
   void AdvanceTime(std::uint32_t milliseconds);
-  // Time passes while what isn't held back arrives: a good network and, here and there, silence.
+  // Advances time while messages that are not held back are delivered.
   void RunNetworkFor(std::uint32_t milliseconds);
 
-  // Lets everything that is under way come to its end, what is held back last: nothing may be left.
+  // Lets all requests end, delivers the held-back messages last, and checks that nothing is left.
   void FinishAndCheck();
 
   const std::string& Violation() const { return oracle_.Violation(); }
 
  private:
-  // A request in an agent's hands; the caller's, or one taken from another agent.
+  // A request that an agent accepted from another agent and runs at its endpoint.
   struct Run {
     enum class Stage : std::uint8_t { kWaiting, kRunning, kAnswering, kEnded };
     base::NodeId agent;
--- a/proofs/hand_over/request_oracle.cpp
+++ b/proofs/hand_over/request_oracle.cpp
@@ -5,7 +5,7 @@
 
 constexpr int kMaxSafeExecutions = 2;  // HandOverLimits::max_offers
 
-// OnAnswerBytes that differ between requests and between places in one.
+// Content that differs between requests and between positions within one request.
 std::string Content(std::uint64_t number, std::size_t size, std::uint64_t salt) {
   constexpr std::uint64_t kStepMs = 31;
   std::string bytes(size, '\0');
@@ -36,14 +36,16 @@
 void RequestOracle::OnExecuted(std::uint64_t number) {
   OracleEntry& entry = entries_[number];
   ++entry.executions;
-  Require(!entry.was_told_not_run, "ran though its caller was told that it wouldn't");
-  Require(entry.executions <= (entry.is_safe ? kMaxSafeExecutions : 1), "ran too often");
+  Require(!entry.was_told_not_run, "ran after its caller was told \"not run\"");
+  Require(entry.executions <= (entry.is_safe ? kMaxSafeExecutions : 1),
+          "ran more often than allowed");
 }
 
 void RequestOracle::OnBodyReceived(std::uint64_t number, std::string_view body, bool is_whole) {
   const OracleEntry& entry = entries_[number];
-  Require(entry.body.starts_with(body), "the endpoint got another body");
-  Require(!is_whole || body.size() == entry.body.size(), "a part of a body passed for the whole");
+  Require(entry.body.starts_with(body), "the endpoint received a different body");
+  Require(!is_whole || body.size() == entry.body.size(),
+          "a truncated body was delivered as complete");
 }
 
 void RequestOracle::OnHandedOver(std::uint64_t number) {
@@ -53,34 +55,36 @@
 
 void RequestOracle::OnAnswerHead(std::uint64_t number) {
   OracleEntry& entry = entries_[number];
-  Require(!entry.has_ended && !entry.has_head, "a second answer");
-  Require(entry.executions > 0, "an answer of nobody");
+  Require(!entry.has_ended && !entry.has_head, "a second answer began");
+  Require(entry.executions > 0, "an answer without an execution");
   entry.has_head = true;
 }
 
 void RequestOracle::OnAnswerBytes(std::uint64_t number, std::string_view bytes) {
   OracleEntry& entry = entries_[number];
-  Require(!entry.has_ended && entry.has_head, "bytes outside an answer");
+  Require(!entry.has_ended && entry.has_head, "answer bytes outside an answer");
   entry.received += bytes;
-  Require(entry.answer.starts_with(entry.received), "the answer isn't the endpoint's");
+  Require(entry.answer.starts_with(entry.received),
+          "the answer differs from the endpoint's answer");
 }
 
 void RequestOracle::OnAnswerCompleted(std::uint64_t number) {
   Require(entries_[number].received == entries_[number].answer,
-          "a part of an answer passed for the whole");
+          "a truncated answer was delivered as complete");
   End(number);
 }
 
 void RequestOracle::OnAnswerAborted(std::uint64_t number) {
-  Require(entries_[number].has_head, "cut before it began");
+  Require(entries_[number].has_head, "the answer was aborted before it began");
   End(number);
 }
 
 void RequestOracle::OnRefused(std::uint64_t number, requests::RequestOutcome outcome) {
   OracleEntry& entry = entries_[number];
-  Require(!entry.has_head, "refused within an answer");
+  Require(!entry.has_head, "refused after its answer began");
   entry.was_told_not_run = outcome == requests::RequestOutcome::kNotRun;
-  Require(!entry.was_told_not_run || entry.executions == 0, "told 'not run' though it ran");
+  Require(!entry.was_told_not_run || entry.executions == 0,
+          "the caller was told \"not run\" although it ran");
   End(number);
 }
 
--- a/proofs/hand_over/request_oracle.h
+++ b/proofs/hand_over/request_oracle.h
@@ -1,5 +1,4 @@
-// The oracle of the hand-over proof: what truly became of each request, and what its caller was
-// told.
+// Oracle of the hand-over proof: what happened to each request, and what its caller was told.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +13,7 @@
 
 namespace gaugevalve::proofs {
 
-// One request as its caller and the endpoints know it.
+// One request as its caller and the endpoints see it.
 struct OracleEntry {
   bool is_safe = false;
   std::string body;
@@ -22,44 +21,44 @@
   base::TimePoint deadline;
   base::NodeId origin;
   base::Incarnation origin_incarnation;
-  std::size_t body_given = 0;  // to the origin's core
+  std::size_t body_given = 0;  // bytes passed to the origin's core
   int executions = 0;
-  int hand_over_count = 0;  // from agent to agent, tries at other peers aside
+  int hand_over_count = 0;  // between agents; repeated offers to other peers do not count
   bool has_head = false;
   std::string received;
   bool has_ended = false;
   bool was_told_not_run = false;
 };
 
-// Follows every request. The first broken requirement is kept in words; the proof asks for it after
-// each event.
+// Tracks every request. Stores a description of the first violated requirement; the proof checks it
+// after each event.
 class RequestOracle {
  public:
-  // Adds a request and returns its number. Content follows from the number and these sizes.
+  // Adds a request and returns its number. The content is derived from the number and the sizes.
   std::uint64_t Add(bool is_safe, std::size_t body_size, std::size_t answer_size);
 
   OracleEntry& Of(std::uint64_t number) { return entries_[number]; }
   std::size_t Size() const { return entries_.size(); }
 
-  // An endpoint began to run the request.
+  // An endpoint started to run the request.
   void OnExecuted(std::uint64_t number);
-  // An endpoint was given the body.
+  // An endpoint received the body up to here.
   void OnBodyReceived(std::uint64_t number, std::string_view body, bool is_whole);
-  // An agent handed the request to another.
+  // An agent handed the request over to another agent.
   void OnHandedOver(std::uint64_t number);
 
-  // What the caller was given.
+  // What the caller received.
   void OnAnswerHead(std::uint64_t number);
   void OnAnswerBytes(std::uint64_t number, std::string_view bytes);
   void OnAnswerCompleted(std::uint64_t number);
   void OnAnswerAborted(std::uint64_t number);
   void OnRefused(std::uint64_t number, requests::RequestOutcome outcome);
-  // The caller gave it up, or its agent is gone.
+  // The caller cancelled the request, or its agent is gone.
   void OnAbandoned(std::uint64_t number) { entries_[number].has_ended = true; }
 
   void Require(bool holds, std::string_view requirement);
 
-  // Returns the first broken requirement, or nothing.
+  // Returns the first violated requirement; empty if there is none.
   const std::string& Violation() const { return violation_; }
 
  private:
