--- a/libs/requests/include/gaugevalve/requests/at_most_once.h
+++ b/libs/requests/include/gaugevalve/requests/at_most_once.h
@@ -181,8 +181,8 @@
   void StartCollections(base::TimePoint now, AtMostOnceActions& actions);
   void SendCollectRequests(base::TimePoint now, AtMostOnceActions& actions);
 
-  proto::Verdict Decide(const ExecutionRecord& wanted, const std::optional<base::Duration>& key_age,
-                        base::TimePoint now);
+  proto::Verdict Decide(const ExecutionRecord& requested,
+                        const std::optional<base::Duration>& key_age, base::TimePoint now);
   void Advance(Pending& pending, base::TimePoint now, AtMostOnceActions& actions);
   void AskOwner(Pending& pending, base::NodeId owner, AtMostOnceActions& actions);
   void DecideLocally(Pending& pending, base::TimePoint now, AtMostOnceActions& actions);
--- a/libs/requests/include/gaugevalve/requests/execution_record_table.h
+++ b/libs/requests/include/gaugevalve/requests/execution_record_table.h
@@ -36,12 +36,12 @@
     }
   }
 
-  // Returns copies of the records for which `wanted` returns true.
+  // Returns copies of the records for which `predicate` returns true.
   template <class Predicate>
-  std::vector<ExecutionRecord> Select(const Predicate& wanted) const {
+  std::vector<ExecutionRecord> Select(const Predicate& predicate) const {
     std::vector<ExecutionRecord> selected;
     for (const auto& [key, record] : records_) {
-      if (wanted(record)) {
+      if (predicate(record)) {
         selected.push_back(record);
       }
     }
--- a/libs/requests/include/gaugevalve/requests/hand_over_origin.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_origin.h
@@ -78,7 +78,7 @@
     HandOverRequest request;
     HandOverNeed need = HandOverNeed::kCannotRunHere;
     HandOverId id;
-    std::vector<base::NodeId> tried;
+    std::vector<base::NodeId> tried_peers;
     FrameSender body;
     FrameReceiver answer;
     bool may_have_run = false;  // at a peer that was lost before the request was offered again
--- a/libs/requests/include/gaugevalve/requests/peer_loads.h
+++ b/libs/requests/include/gaugevalve/requests/peer_loads.h
@@ -57,8 +57,8 @@
   void Update(const proto::HandOverLoad& load, base::TimePoint now);
 
   // Returns the better of two random peers with capacity ("power of two choices"), excluding those
-  // in `tried`; nothing if no peer is suitable.
-  std::optional<ChosenPeer> Choose(HandOverNeed need, const std::vector<base::NodeId>& tried,
+  // in `tried_peers`; nothing if no peer is suitable.
+  std::optional<ChosenPeer> Choose(HandOverNeed need, const std::vector<base::NodeId>& tried_peers,
                                    base::RandomSource& random, base::TimePoint now) const;
 
   // A hand-over to this peer began or ended.
--- a/libs/requests/src/at_most_once_executor.cpp
+++ b/libs/requests/src/at_most_once_executor.cpp
@@ -124,21 +124,21 @@
 }
 
 void AtMostOnce::DecideLocally(Pending& pending, base::TimePoint now, AtMostOnceActions& actions) {
-  ExecutionRecord wanted;
-  wanted.key = pending.request.key;
-  wanted.fingerprint = pending.request.fingerprint;
-  wanted.grant = pending.grant;
-  wanted.first_recorded_at = now;
-  const proto::Verdict verdict = Decide(wanted, pending.request.key_created_at, now);
+  ExecutionRecord requested;
+  requested.key = pending.request.key;
+  requested.fingerprint = pending.request.fingerprint;
+  requested.grant = pending.grant;
+  requested.first_recorded_at = now;
+  const proto::Verdict verdict = Decide(requested, pending.request.key_created_at, now);
   if (verdict == proto::RUN) {
     AskForCopy(pending, now, actions);
     return;
   }
-  const ExecutionRecord* const known = records_.Find(wanted.key);
+  const ExecutionRecord* const known = records_.Find(requested.key);
   if (known != nullptr) {
     QueryExecutor(*known, now, actions);
   }
-  End(pending.request.id, known != nullptr ? *known : wanted, verdict, actions);
+  End(pending.request.id, known != nullptr ? *known : requested, verdict, actions);
 }
 
 void AtMostOnce::AskForCopy(Pending& pending, base::TimePoint now, AtMostOnceActions& actions) {
--- a/libs/requests/src/at_most_once_owner.cpp
+++ b/libs/requests/src/at_most_once_owner.cpp
@@ -12,20 +12,20 @@
 
 }  // namespace
 
-proto::Verdict AtMostOnce::Decide(const ExecutionRecord& wanted,
+proto::Verdict AtMostOnce::Decide(const ExecutionRecord& requested,
                                   const std::optional<base::Duration>& key_created_at,
                                   base::TimePoint now) {
-  const ExecutionRecord* const known = records_.Find(wanted.key);
+  const ExecutionRecord* const known = records_.Find(requested.key);
   if (known == nullptr) {
     if (MayBeForgotten(key_created_at, now)) {
       return proto::FORGOTTEN;
     }
-    return records_.Put(wanted) ? proto::RUN : proto::TABLE_FULL;
+    return records_.Put(requested) ? proto::RUN : proto::TABLE_FULL;
   }
-  if (known->fingerprint != wanted.fingerprint) {
+  if (known->fingerprint != requested.fingerprint) {
     return proto::REUSED;
   }
-  if (known->grant == wanted.grant && known->state == ExecutionState::kGranted) {
+  if (known->grant == requested.grant && known->state == ExecutionState::kGranted) {
     return proto::RUN;
   }
   if (known->state != ExecutionState::kNotRun) {
@@ -34,25 +34,25 @@
   if (MayBeForgotten(key_created_at, now)) {
     return proto::FORGOTTEN;  // the record of a later grant that did run may be lost
   }
-  records_.Put(wanted);
+  records_.Put(requested);
   return proto::RUN;
 }
 
 void AtMostOnce::OnPermitRequest(base::NodeId sender, const proto::PermitRequest& message,
                                  base::TimePoint now, AtMostOnceActions& actions) {
-  ExecutionRecord wanted;
-  wanted.key = DecodeKey(message.key());
-  wanted.fingerprint = message.fingerprint();
-  wanted.grant = {sender, base::Incarnation(message.executor_incarnation()), message.grant()};
-  wanted.first_recorded_at = now;
-  const base::BucketIndex bucket = BucketOf(wanted.key);
+  ExecutionRecord requested;
+  requested.key = DecodeKey(message.key());
+  requested.fingerprint = message.fingerprint();
+  requested.grant = {sender, base::Incarnation(message.executor_incarnation()), message.grant()};
+  requested.first_recorded_at = now;
+  const base::BucketIndex bucket = BucketOf(requested.key);
 
   OutgoingMessage outgoing{sender, {}};
   proto::PermitReply* const reply = outgoing.message.mutable_permit_reply();
-  EncodeRecord(wanted, now, reply->mutable_asked());
+  EncodeRecord(requested, now, reply->mutable_asked());
   EncodeVersion(EntryOf(bucket).version, reply->mutable_version());
   Acknowledge(bucket, DecodeVersion(message.version()));
-  if (!IsOwner(bucket, now) || !IsLiveIncarnation(sender, wanted.grant.incarnation)) {
+  if (!IsOwner(bucket, now) || !IsLiveIncarnation(sender, requested.grant.incarnation)) {
     reply->set_verdict(proto::NOT_OWNER);
   } else if (!IsSettledOwner(bucket, now)) {
     reply->set_verdict(proto::UNSETTLED);
@@ -62,9 +62,9 @@
       key_created_at = std::chrono::milliseconds(
           std::min(message.key_created_milliseconds(), kMaxKeyTimeMilliseconds));
     }
-    reply->set_verdict(Decide(wanted, key_created_at, now));
+    reply->set_verdict(Decide(requested, key_created_at, now));
     if (reply->verdict() == proto::KNOWN) {
-      const ExecutionRecord& known = *records_.Find(wanted.key);
+      const ExecutionRecord& known = *records_.Find(requested.key);
       EncodeRecord(known, now, reply->mutable_known());
       QueryExecutor(known, now, actions);
     }
@@ -80,10 +80,10 @@
     return;
   }
   OutgoingMessage outgoing{record.grant.executor, {}};
-  proto::PermitReply* const reminder = outgoing.message.mutable_permit_reply();
-  EncodeRecord(record, now, reminder->mutable_asked());
-  EncodeVersion(EntryOf(BucketOf(record.key)).version, reminder->mutable_version());
-  reminder->set_verdict(proto::RUN);
+  proto::PermitReply* const query = outgoing.message.mutable_permit_reply();
+  EncodeRecord(record, now, query->mutable_asked());
+  EncodeVersion(EntryOf(BucketOf(record.key)).version, query->mutable_version());
+  query->set_verdict(proto::RUN);
   actions.send.push_back(std::move(outgoing));
 }
 
--- a/libs/requests/src/hand_over_origin.cpp
+++ b/libs/requests/src/hand_over_origin.cpp
@@ -50,7 +50,7 @@
   Exchange exchange{.request = request,
                     .need = need,
                     .id = {},
-                    .tried = {},
+                    .tried_peers = {},
                     .body = NewBody(),
                     .answer = FrameReceiver(limits_.mechanisms.check_sequence)};
   if (!OfferTo(exchange, now, actions)) {
@@ -62,13 +62,13 @@
 }
 
 bool HandOverOrigin::OfferTo(Exchange& exchange, base::TimePoint now, HandOverActions& actions) {
-  const auto peer = loads_.Choose(exchange.need, exchange.tried, random_, now);
+  const auto peer = loads_.Choose(exchange.need, exchange.tried_peers, random_, now);
   if (!peer) {
     return false;
   }
   exchange.id = {self_, incarnation_, next_number_, peer->node, peer->incarnation};
   ++next_number_;
-  exchange.tried.push_back(peer->node);
+  exchange.tried_peers.push_back(peer->node);
   exchange.body.Rewind();
   exchange.answer = FrameReceiver(limits_.mechanisms.check_sequence);
   exchange.is_accepted = false;
@@ -253,15 +253,15 @@
 bool HandOverOrigin::MayRepeat(const Exchange& exchange, base::TimePoint now) {
   const bool is_safe = exchange.request.is_safe || !limits_.mechanisms.repeat_only_safe;
   return is_safe && now < exchange.request.deadline && exchange.body.HasNothingAcknowledged() &&
-         exchange.tried.size() < limits_.max_offers && retry_budget_.TakeRetry();
+         exchange.tried_peers.size() < limits_.max_offers && retry_budget_.TakeRetry();
 }
 
 bool HandOverOrigin::OfferElsewhere(Exchange& exchange, base::TimePoint now,
                                     HandOverActions& actions) {
-  const bool may_ask = exchange.tried.size() < limits_.max_offers &&
-                       exchange.body.HasNothingAcknowledged() && now < exchange.request.deadline;
+  const bool may_offer = exchange.tried_peers.size() < limits_.max_offers &&
+                         exchange.body.HasNothingAcknowledged() && now < exchange.request.deadline;
   const HandOverId previous_id = exchange.id;
-  if (!may_ask || !OfferTo(exchange, now, actions)) {
+  if (!may_offer || !OfferTo(exchange, now, actions)) {
     return false;
   }
   by_number_.erase(previous_id.number);
--- a/libs/requests/src/peer_loads.cpp
+++ b/libs/requests/src/peer_loads.cpp
@@ -62,11 +62,12 @@
 }
 
 std::optional<ChosenPeer> PeerLoads::Choose(HandOverNeed need,
-                                            const std::vector<base::NodeId>& tried,
+                                            const std::vector<base::NodeId>& tried_peers,
                                             base::RandomSource& random, base::TimePoint now) const {
   std::vector<base::NodeId> candidates;
   for (const auto& [node, peer] : peers_) {
-    const bool was_tried = std::find(tried.begin(), tried.end(), node) != tried.end();
+    const bool was_tried =
+        std::find(tried_peers.begin(), tried_peers.end(), node) != tried_peers.end();
     if (!was_tried && HasRoom(node, peer, need, now)) {
       candidates.push_back(node);
     }
--- a/libs/requests/src/request_pipeline.cpp
+++ b/libs/requests/src/request_pipeline.cpp
@@ -260,9 +260,9 @@
 void RequestPipeline::AbortOverdue(base::TimePoint now, PipelineActions& actions) {
   std::vector<RequestId> overdue;
   for (const auto& [id, request] : requests_) {
-    const bool is_late = request.stage == Stage::kRunning && !request.has_answer_begun &&
-                         now >= request.admission.deadline;
-    if (is_late) {
+    const bool is_overdue = request.stage == Stage::kRunning && !request.has_answer_begun &&
+                            now >= request.admission.deadline;
+    if (is_overdue) {
       overdue.push_back(id);
     }
   }
--- a/libs/requests/tests/at_most_once_test.cpp
+++ b/libs/requests/tests/at_most_once_test.cpp
@@ -197,8 +197,9 @@
       const InFlight message = std::move(in_flight_.front());
       in_flight_.pop_front();
       const auto receiver = agents_.find(message.outgoing.destination);
-      const bool cut = message.sender == cut_off_ || message.outgoing.destination == cut_off_;
-      if (receiver != agents_.end() && !cut) {
+      const bool is_cut_off =
+          message.sender == cut_off_ || message.outgoing.destination == cut_off_;
+      if (receiver != agents_.end() && !is_cut_off) {
         Collect(receiver->first,
                 receiver->second.OnMessage(message.sender, message.outgoing.message, now_));
       }
