--- a/proofs/flow_ownership/src/planner_model.h
+++ b/proofs/flow_ownership/src/planner_model.h
@@ -33,7 +33,7 @@
   void Move(std::size_t bucket, base::NodeId node);
 
   // Processes a report: shortens chains, and adds an agent that holds flows back to the chain.
-  void TakeReport(const routing::AgentReport& report);
+  void HandleReport(const routing::AgentReport& report);
 
   // Returns whether the newest table lists the agent.
   bool Lists(base::NodeId node) const { return Newest().FindAgent(node) != nullptr; }
