--- a/libs/flow/src/bucket_ownership.cpp
+++ b/libs/flow/src/bucket_ownership.cpp
@@ -7,7 +7,7 @@
 
 OwnershipDecision Drop(DropReason reason) { return {Verdict::kDrop, {}, reason, false}; }
 
-OwnershipDecision Serve(bool confirms) { return {Verdict::kServe, {}, {}, confirms}; }
+OwnershipDecision Serve(bool confirms_flow) { return {Verdict::kServe, {}, {}, confirms_flow}; }
 
 }  // namespace
 
@@ -27,18 +27,18 @@
   confirmed_at_ = std::max(confirmed_at_, confirmed_at);
   const routing::AgentEntry* const self = table.FindAgent(identity_.node);
   is_listed_ = self != nullptr && self->incarnation >= identity_.incarnation;
-  others_are_listed_ = table.agents.size() > (self != nullptr ? 1U : 0U);
+  lists_other_agents_ = table.agents.size() > (self != nullptr ? 1U : 0U);
 }
 
 void BucketOwnership::NoteTime(base::TimePoint now) {
   CheckPause(now);
-  noted_at_ = now;
+  last_noted_at_ = now;
 }
 
 void BucketOwnership::CheckPause(base::TimePoint now) {
-  if (noted_at_ < now - settings_.pause_threshold) {
+  if (last_noted_at_ < now - settings_.pause_threshold) {
     resumed_at_ = now;
-    noted_at_ = now;
+    last_noted_at_ = now;
   }
 }
 
@@ -67,7 +67,7 @@
   }
   const bool on_walk = header.walk != wire::ChainWalk::kNotStarted;
   if (on_walk && header.entry.version == known.version) {
-    return std::nullopt;  // the walk goes on along the list on which it began
+    return std::nullopt;  // the walk continues along the chain on which it began
   }
   header.entry = known;
   header.walk = wire::ChainWalk::kNotStarted;
@@ -76,9 +76,9 @@
 }
 
 OwnershipDecision BucketOwnership::Decide(wire::ForwardingHeader& header,
-                                          const std::optional<routing::TableVersion>& held,
+                                          const std::optional<routing::TableVersion>& held_version,
                                           base::TimePoint now) const {
-  if (held == header.entry.version) {
+  if (held_version == header.entry.version) {
     return Serve(false);
   }
   if (header.entry.owner.node == base::NodeId()) {
@@ -88,68 +88,69 @@
   const bool is_owner = IsSelf(header.entry.owner);
   OwnershipDecision decision;
   if (header.walk == wire::ChainWalk::kFinished) {
-    decision = EndWalk(header, held, now);
+    decision = EndWalk(header, held_version, now);
   } else if (is_owner) {
-    decision = StartWalk(header, held, now);
+    decision = StartWalk(header, held_version, now);
   } else if (header.walk == wire::ChainWalk::kWalking) {
-    decision = ContinueWalk(header, held);
+    decision = ContinueWalk(header, held_version);
   } else {
-    decision = PassToOwner(header);
+    decision = ForwardToOwner(header);
   }
   const bool passes_on = decision.verdict == Verdict::kPassOn;
   return passes_on && hops_are_spent ? Drop(DropReason::kHopLimit) : decision;
 }
 
-// At the owner: asks the first previous owner, or decides when there is none.
-OwnershipDecision BucketOwnership::StartWalk(wire::ForwardingHeader& header,
-                                             const std::optional<routing::TableVersion>& held,
-                                             base::TimePoint now) const {
+// At the owner: forwards to the first previous owner, or decides if there is none.
+OwnershipDecision BucketOwnership::StartWalk(
+    wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held_version,
+    base::TimePoint now) const {
   const auto& chain = header.entry.previous_owners;
   const auto first = std::find_if_not(chain.begin(), chain.end(),
                                       [this](const auto& agent) { return IsSelf(agent); });
   if (first == chain.end()) {
-    return held ? Serve(true) : OpenOrRefuse(header.entry, now);
+    return held_version ? Serve(true) : OpenOrRefuse(header.entry, now);
   }
   header.walk = wire::ChainWalk::kWalking;
-  header.claim = held ? wire::FlowClaim{identity_.node, *held} : wire::FlowClaim();
-  return PassTo(*first, header);
+  header.claim = held_version ? wire::FlowClaim{identity_.node, *held_version} : wire::FlowClaim();
+  return ForwardTo(*first, header);
 }
 
-// At a previous owner: enters its claim and asks the next one; the last one ends the walk.
+// At a previous owner: adds its claim and forwards to the next one; the last one ends the walk.
 OwnershipDecision BucketOwnership::ContinueWalk(
-    wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held) const {
+    wire::ForwardingHeader& header,
+    const std::optional<routing::TableVersion>& held_version) const {
   const auto& chain = header.entry.previous_owners;
   const auto self =
       std::find_if(chain.begin(), chain.end(), [this](const auto& agent) { return IsSelf(agent); });
-  if (self == chain.end()) {  // not a stop of this walk
-    return PassToOwner(header);
+  if (self == chain.end()) {  // this agent is not on the chain
+    return ForwardToOwner(header);
   }
   const bool is_claimed = header.claim.holder != base::NodeId();
-  if (held && (!is_claimed || *held > header.claim.confirmed)) {
-    header.claim = {identity_.node, *held};
+  if (held_version && (!is_claimed || *held_version > header.claim.confirmed)) {
+    header.claim = {identity_.node, *held_version};
   }
   if (self + 1 != chain.end()) {
-    return PassTo(*(self + 1), header);
+    return ForwardTo(*(self + 1), header);
   }
   header.walk = wire::ChainWalk::kFinished;
-  return header.claim.holder == identity_.node ? Serve(true) : PassToClaimant(header);
+  return header.claim.holder == identity_.node ? Serve(true) : ForwardToClaimHolder(header);
 }
 
-// Where a walk ended: at the agent whose claim is the best, or at the owner when there is none.
+// At the end of a walk: at the agent with the best claim, or at the owner if there is no claim.
 OwnershipDecision BucketOwnership::EndWalk(wire::ForwardingHeader& header,
-                                           const std::optional<routing::TableVersion>& held,
+                                           const std::optional<routing::TableVersion>& held_version,
                                            base::TimePoint now) const {
   const bool is_claimed = header.claim.holder != base::NodeId();
   const bool is_own_claim = header.claim.holder == identity_.node;
   const bool is_owner = IsSelf(header.entry.owner);
-  if (is_own_claim && held) {
+  if (is_own_claim && held_version) {
     return Serve(true);
   }
-  if (is_owner && !is_claimed && !held) {
+  if (is_owner && !is_claimed && !held_version) {
     return OpenOrRefuse(header.entry, now);
   }
-  // The claimant has closed the flow since, or the datagram has gone astray: ask anew.
-  return is_owner ? StartWalk(header, held, now) : PassToOwner(header);
+  // The claim holder has closed the flow since, or the datagram was misdirected: restart the walk.
+  return is_owner ? StartWalk(header, held_version, now) : ForwardToOwner(header);
 }
 
 OwnershipDecision BucketOwnership::OpenOrRefuse(const wire::BucketEntry& entry,
@@ -171,7 +172,7 @@
     return DropReason::kChainCut;
   }
   const bool grace_is_over = draining_since_ && now - *draining_since_ > settings_.drain_grace;
-  if (grace_is_over && others_are_listed_) {
+  if (grace_is_over && lists_other_agents_) {
     return DropReason::kDraining;
   }
   return std::nullopt;
@@ -185,22 +186,22 @@
   });
 }
 
-OwnershipDecision BucketOwnership::PassToClaimant(wire::ForwardingHeader& header) const {
+OwnershipDecision BucketOwnership::ForwardToClaimHolder(wire::ForwardingHeader& header) const {
   const auto& chain = header.entry.previous_owners;
-  const auto claimant = std::find_if(chain.begin(), chain.end(), [&](const auto& agent) {
+  const auto claim_holder = std::find_if(chain.begin(), chain.end(), [&](const auto& agent) {
     return agent.node == header.claim.holder;
   });
-  return PassTo(claimant == chain.end() ? header.entry.owner : *claimant, header);
+  return ForwardTo(claim_holder == chain.end() ? header.entry.owner : *claim_holder, header);
 }
 
-OwnershipDecision BucketOwnership::PassToOwner(wire::ForwardingHeader& header) {
+OwnershipDecision BucketOwnership::ForwardToOwner(wire::ForwardingHeader& header) {
   header.walk = wire::ChainWalk::kNotStarted;
   header.claim = {};
-  return PassTo(header.entry.owner, header);
+  return ForwardTo(header.entry.owner, header);
 }
 
-OwnershipDecision BucketOwnership::PassTo(const wire::AgentAddress& agent,
-                                          wire::ForwardingHeader& header) {
+OwnershipDecision BucketOwnership::ForwardTo(const wire::AgentAddress& agent,
+                                             wire::ForwardingHeader& header) {
   header.target = agent.node;
   header.target_incarnation = agent.incarnation;
   ++header.hop_count;
--- a/libs/flow/src/flow_core.cpp
+++ b/libs/flow/src/flow_core.cpp
@@ -28,7 +28,7 @@
   switch (decision.verdict) {
     case Verdict::kServe:
       table_.Touch(*flow, now);
-      if (decision.confirms) {
+      if (decision.confirms_flow) {
         table_.SetConfirmed(*flow, ownership_.EntryVersion(header.bucket));
       }
       return Relay{*flow, false};
--- a/libs/requests/src/at_most_once_executor.cpp
+++ b/libs/requests/src/at_most_once_executor.cpp
@@ -1,4 +1,4 @@
-// Keyed requests of this agent, from Begin() to their end.
+// Executor role: keyed requests of this agent, from Begin() to their end.
 #include <algorithm>
 
 #include "gaugevalve/requests/at_most_once.h"
@@ -81,7 +81,7 @@
     Advance(pending_.at(id), now, actions);
   }
   if (table_ != nullptr) {
-    AskForCollections(now, actions);
+    SendCollectRequests(now, actions);
   }
   for (auto& [key, restoration] : restorations_) {
     if (now >= restoration.resend_at) {
@@ -124,21 +124,21 @@
 }
 
 void AtMostOnce::DecideLocally(Pending& pending, base::TimePoint now, AtMostOnceActions& actions) {
-  ExecutionRecord wanted;
-  wanted.key = pending.request.key;
-  wanted.fingerprint = pending.request.fingerprint;
-  wanted.grant = pending.grant;
-  wanted.first_recorded_at = now;
-  const proto::Verdict verdict = Decide(wanted, pending.request.key_created_at, now);
+  ExecutionRecord requested;
+  requested.key = pending.request.key;
+  requested.fingerprint = pending.request.fingerprint;
+  requested.grant = pending.grant;
+  requested.first_recorded_at = now;
+  const proto::Verdict verdict = Decide(requested, pending.request.key_created_at, now);
   if (verdict == proto::RUN) {
     AskForCopy(pending, now, actions);
     return;
   }
-  const ExecutionRecord* const known = records_.Find(wanted.key);
+  const ExecutionRecord* const known = records_.Find(requested.key);
   if (known != nullptr) {
-    RemindExecutor(*known, now, actions);
+    QueryExecutor(*known, now, actions);
   }
-  End(pending.request.id, known != nullptr ? *known : wanted, verdict, actions);
+  End(pending.request.id, known != nullptr ? *known : requested, verdict, actions);
 }
 
 void AtMostOnce::AskForCopy(Pending& pending, base::TimePoint now, AtMostOnceActions& actions) {
@@ -178,7 +178,7 @@
   }
   const base::BucketIndex bucket = BucketOf(pending->request.key);
   if (!Acknowledge(bucket, DecodeVersion(message.version()))) {
-    return;  // decided under a version that we have promised not to take part in
+    return;  // decided under an older version than this agent has acknowledged
   }
   switch (message.verdict()) {
     case proto::RUN:
@@ -204,7 +204,8 @@
   Refuse(pending.request.id, RequestOutcome::kNotRun, RefusalReason::kKeyTableFull, actions);
 }
 
-// A permit for a grant that isn't waiting here: it ended, or was given up, or is another life's.
+// Handles a permit for a grant that is not pending here: the request ended, was cancelled, or
+// belongs to another incarnation.
 void AtMostOnce::OnPermitForUnknownGrant(base::NodeId sender, const ExecutionRecord& record,
                                          base::TimePoint now, AtMostOnceActions& actions) {
   if (record.grant.executor != self_ || record.grant.incarnation != incarnation_) {
@@ -213,7 +214,7 @@
   ExecutionRecord answer = record;
   const ExecutionRecord* const known = records_.Find(record.key);
   const bool ended_here = known != nullptr && known->grant == record.grant;
-  // An old grant may have run and its record have been forgotten since.
+  // An old grant may have run, and its record may have expired since.
   const bool may_be_forgotten = record.first_recorded_at + limits_.window / 2 < now;
   answer.state = may_be_forgotten ? ExecutionState::kUnknown : ExecutionState::kNotRun;
   if (ended_here) {
@@ -228,7 +229,7 @@
                      AtMostOnceActions& actions) {
   switch (verdict) {
     case proto::KNOWN:
-      EndWithKnown(id, known, actions);
+      EndWithKnownRecord(id, known, actions);
       return;
     case proto::FORGOTTEN:
       Refuse(id, RequestOutcome::kOutcomeUnknown, RefusalReason::kKeyForgotten, actions);
@@ -241,14 +242,14 @@
   }
 }
 
-void AtMostOnce::EndWithKnown(RequestId id, const ExecutionRecord& known,
-                              AtMostOnceActions& actions) {
+void AtMostOnce::EndWithKnownRecord(RequestId id, const ExecutionRecord& known,
+                                    AtMostOnceActions& actions) {
   if (known.state == ExecutionState::kAnswered) {
     actions.repeated.push_back({id, known.answer});
     Forget(id);
     return;
   }
-  const bool executor_lives = IsLiveLife(known.grant.executor, known.grant.incarnation);
+  const bool executor_lives = IsLiveIncarnation(known.grant.executor, known.grant.incarnation);
   RefusalReason reason = RefusalReason::kEndpointFailed;
   if (known.state == ExecutionState::kGranted) {
     reason = executor_lives ? RefusalReason::kKeyInProgress : RefusalReason::kExecutorLost;
@@ -265,7 +266,8 @@
   Forget(id);
 }
 
-// Takes back a request that has not been handed out; whoever recorded its grant is told.
+// Withdraws a request that has not started and notifies the agents that may have recorded its
+// grant.
 void AtMostOnce::Withdraw(const Pending& pending, base::TimePoint now, AtMostOnceActions& actions) {
   ExecutionRecord ended;
   ended.key = pending.request.key;
--- a/libs/requests/src/peer_loads.cpp
+++ b/libs/requests/src/peer_loads.cpp
@@ -6,14 +6,14 @@
 
 std::optional<HandOverNeed> FindHandOverNeed(const LocalSituation& situation,
                                              const HandOverLimits& limits) {
-  const bool was_moved = situation.was_handed_over && limits.mechanisms.bound_hops;
-  if (was_moved || situation.is_stream) {
+  const bool exceeds_hop_limit = situation.was_handed_over && limits.mechanisms.bound_hops;
+  if (exceeds_hop_limit || situation.is_stream) {
     return std::nullopt;
   }
   if (situation.is_draining || situation.is_endpoint_down) {
     return HandOverNeed::kCannotRunHere;
   }
-  if (situation.estimated_wait > limits.longest_wait) {
+  if (situation.estimated_wait > limits.max_local_wait) {
     return HandOverNeed::kShorterWait;
   }
   return std::nullopt;
@@ -32,7 +32,7 @@
   }
 }
 
-void PeerLoads::Learn(const proto::HandOverLoad& load, base::TimePoint now) {
+void PeerLoads::Update(const proto::HandOverLoad& load, base::TimePoint now) {
   const auto found = peers_.find(base::NodeId(load.node()));
   if (found == peers_.end()) {
     return;
@@ -48,7 +48,7 @@
 
 bool PeerLoads::HasRoom(base::NodeId node, const Peer& peer, HandOverNeed need,
                         base::TimePoint now) const {
-  const bool is_known = peer.was_heard && now - peer.heard_at < limits_.load_freshness &&
+  const bool is_known = peer.was_heard && now - peer.heard_at < limits_.max_load_age &&
                         peer.announced_incarnation == peer.listed_incarnation;
   const bool is_within_bound =
       InFlight(node) < limits_.in_flight_per_peer || !limits_.mechanisms.bound_in_flight;
@@ -56,17 +56,18 @@
     return false;
   }
   if (need == HandOverNeed::kShorterWait) {
-    return peer.free_slots >= limits_.clearly_more_slots;
+    return peer.free_slots >= limits_.min_free_slots_for_shorter_wait;
   }
   return peer.free_slots + peer.queue_room > 0;
 }
 
 std::optional<ChosenPeer> PeerLoads::Choose(HandOverNeed need,
-                                            const std::vector<base::NodeId>& tried,
+                                            const std::vector<base::NodeId>& tried_peers,
                                             base::RandomSource& random, base::TimePoint now) const {
   std::vector<base::NodeId> candidates;
   for (const auto& [node, peer] : peers_) {
-    const bool was_tried = std::find(tried.begin(), tried.end(), node) != tried.end();
+    const bool was_tried =
+        std::find(tried_peers.begin(), tried_peers.end(), node) != tried_peers.end();
     if (!was_tried && HasRoom(node, peer, need, now)) {
       candidates.push_back(node);
     }
@@ -74,7 +75,7 @@
   if (candidates.empty()) {
     return std::nullopt;
   }
-  std::sort(candidates.begin(), candidates.end());  // the hash table's order isn't repeatable
+  std::sort(candidates.begin(), candidates.end());  // hash-table order is not reproducible
   const base::NodeId first = candidates[random.NextBelow(candidates.size())];
   const base::NodeId second = candidates[random.NextBelow(candidates.size())];
   const Peer& one = peers_.at(first);
@@ -85,7 +86,7 @@
   return ChosenPeer{chosen, peers_.at(chosen).listed_incarnation};
 }
 
-void PeerLoads::Began(base::NodeId node) {
+void PeerLoads::OnHandOverBegun(base::NodeId node) {
   ++in_flight_[node];
   const auto found = peers_.find(node);
   if (found == peers_.end()) {
@@ -95,14 +96,14 @@
   (peer.free_slots > 0 ? peer.free_slots : peer.queue_room) -= 1;
 }
 
-void PeerLoads::Ended(base::NodeId node) {
+void PeerLoads::OnHandOverEnded(base::NodeId node) {
   const auto found = in_flight_.find(node);
   if (found != in_flight_.end() && --found->second == 0) {
     in_flight_.erase(found);
   }
 }
 
-void PeerLoads::Refused(base::NodeId node) {
+void PeerLoads::OnRefused(base::NodeId node) {
   const auto found = peers_.find(node);
   if (found != peers_.end()) {
     found->second.free_slots = 0;
--- a/libs/requests/tests/at_most_once_test.cpp
+++ b/libs/requests/tests/at_most_once_test.cpp
@@ -13,20 +13,20 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kBuckets = 8;
-constexpr KeyDigest kKey{5, 3};  // falls into bucket 3
+constexpr KeyDigest kKey{5, 3};  // hashes to bucket 3
 
-// Three agents whose messages are delivered at once, unless one is cut off.
+// Three agents. Messages are delivered immediately, except to and from an agent that is cut off.
 class AtMostOnceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AtMostOnceTest);
   CPPUNIT_TEST(KeyRunsOnceAndARepeatGetsItsAnswer);
-  CPPUNIT_TEST(RepeatWhileRunningIsToldSo);
-  CPPUNIT_TEST(KeyWithAnotherRequestIsRefused);
-  CPPUNIT_TEST(AnswerSurvivesTheOwner);
+  CPPUNIT_TEST(RepeatWhileRunningIsRefusedAsInProgress);
+  CPPUNIT_TEST(KeyReusedForAnotherRequestIsRefused);
+  CPPUNIT_TEST(AnswerSurvivesTheLossOfTheOwner);
   CPPUNIT_TEST(LostExecutorLeavesTheOutcomeUnknown);
-  CPPUNIT_TEST(SecondLossForgetsOlderKeysOnly);
+  CPPUNIT_TEST(SecondLossOnlyAffectsOlderKeys);
   CPPUNIT_TEST(FormerOwnerCannotRunAlone);
   CPPUNIT_TEST(RequestThatDidNotRunMayRunAgain);
-  CPPUNIT_TEST(UnansweredRequestIsGivenUpAtItsDeadline);
+  CPPUNIT_TEST(UnansweredRequestIsRefusedAtItsDeadline);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -49,22 +49,22 @@
     CPPUNIT_ASSERT_EQUAL(201, repeated_status_);
   }
 
-  void RepeatWhileRunningIsToldSo() {
+  void RepeatWhileRunningIsRefusedAsInProgress() {
     Begin(2, 1);
     Begin(3, 2);
     CPPUNIT_ASSERT(last_refusal_.reason == RefusalReason::kKeyInProgress);
     CPPUNIT_ASSERT(last_refusal_.outcome == RequestOutcome::kOutcomeUnknown);
   }
 
-  void KeyWithAnotherRequestIsRefused() {
+  void KeyReusedForAnotherRequestIsRefused() {
     Begin(2, 1);
     Begin(3, 2, /*fingerprint=*/99);
     CPPUNIT_ASSERT(last_refusal_.reason == RefusalReason::kKeyReused);
     CPPUNIT_ASSERT_EQUAL(1, runs_);
   }
 
-  void AnswerSurvivesTheOwner() {
-    Begin(1, 1);  // owner and executor are one: the copy lies elsewhere
+  void AnswerSurvivesTheLossOfTheOwner() {
+    Begin(1, 1);  // agent 1 is owner and executor, so another agent holds the copy
     Finish(1, 1, ExecutionState::kAnswered);
     agents_.erase(base::NodeId(1));
     now_ += seconds(60);
@@ -85,8 +85,8 @@
     CPPUNIT_ASSERT(last_refusal_.outcome == RequestOutcome::kOutcomeUnknown);
   }
 
-  void SecondLossForgetsOlderKeysOnly() {
-    Begin(2, 1);  // its record is held by 1, the owner, and 2, the executor
+  void SecondLossOnlyAffectsOlderKeys() {
+    Begin(2, 1);  // the record is held by 1 (owner) and 2 (executor)
     agents_.erase(base::NodeId(1));
     agents_.erase(base::NodeId(2));
     now_ += seconds(60);
@@ -110,7 +110,7 @@
     SetOwner(2, {2, 3});
     Begin(2, 1);
     CPPUNIT_ASSERT_EQUAL(1, runs_);
-    cut_off_ = base::NodeId();  // agent 1 is back and still believes in its table
+    cut_off_ = base::NodeId();  // agent 1 is reachable again and still uses its old table
     Collect(base::NodeId(1), agents_.at(base::NodeId(1)).SetTable(old_table, now_, now_));
     Begin(1, 2);
     CPPUNIT_ASSERT_EQUAL(1, runs_);
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT_EQUAL(2, runs_);
   }
 
-  void UnansweredRequestIsGivenUpAtItsDeadline() {
+  void UnansweredRequestIsRefusedAtItsDeadline() {
     cut_off_ = base::NodeId(1);
     Begin(2, 1);
     now_ += seconds(9);
@@ -197,8 +197,9 @@
       const InFlight message = std::move(in_flight_.front());
       in_flight_.pop_front();
       const auto receiver = agents_.find(message.outgoing.destination);
-      const bool cut = message.sender == cut_off_ || message.outgoing.destination == cut_off_;
-      if (receiver != agents_.end() && !cut) {
+      const bool is_cut_off =
+          message.sender == cut_off_ || message.outgoing.destination == cut_off_;
+      if (receiver != agents_.end() && !is_cut_off) {
         Collect(receiver->first,
                 receiver->second.OnMessage(message.sender, message.outgoing.message, now_));
       }
--- a/libs/requests/tests/hand_over_test.cpp
+++ b/libs/requests/tests/hand_over_test.cpp
@@ -1,4 +1,4 @@
-// Hand-over between two agents over a link that the test holds.
+// Hand-over between two agents over a link that the test controls.
 #include "gaugevalve/requests/hand_over.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,12 +13,12 @@
 
 constexpr base::NodeId kOrigin(1);
 constexpr base::NodeId kExecutor(2);
-constexpr base::Incarnation kLife(7);
+constexpr base::Incarnation kIncarnation(7);
 constexpr RequestId kRequest(1);
 
-std::shared_ptr<const routing::BucketTable> TableOf(base::Incarnation executor_life) {
+std::shared_ptr<const routing::BucketTable> TableOf(base::Incarnation listed_incarnation) {
   auto table = std::make_shared<routing::BucketTable>();
-  table->agents = {{kOrigin, kLife, {}, ""}, {kExecutor, executor_life, {}, ""}};
+  table->agents = {{kOrigin, kIncarnation, {}, ""}, {kExecutor, listed_incarnation, {}, ""}};
   return table;
 }
 
@@ -36,14 +36,14 @@
 class HandOverTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HandOverTest);
   CPPUNIT_TEST(ARequestRunsAtThePeerAndItsAnswerComesBack);
-  CPPUNIT_TEST(OnlyAPeerThatAnnouncedRoomIsAsked);
+  CPPUNIT_TEST(OnlyAPeerThatAnnouncedCapacityIsChosen);
   CPPUNIT_TEST(ARefusalLeavesTheRequestNotRun);
-  CPPUNIT_TEST(ANewLifeOfThePeerLeavesTheOutcomeUnknown);
+  CPPUNIT_TEST(ANewIncarnationOfThePeerLeavesTheOutcomeUnknown);
   CPPUNIT_TEST(ASilentPeerLeavesTheOutcomeUnknown);
   CPPUNIT_TEST(ALateRepeatOfAnEndedOfferRunsNothing);
-  CPPUNIT_TEST(AnOfferThatWasCancelledBeforeItCameRunsNothing);
+  CPPUNIT_TEST(AnOfferCancelledBeforeItArrivedRunsNothing);
   CPPUNIT_TEST(TheBetterOfTwoPeersIsChosen);
-  CPPUNIT_TEST(OnlyNeedMovesARequest);
+  CPPUNIT_TEST(OnlyDrainsAndLongWaitsCauseAHandOver);
   CPPUNIT_TEST(MalformedMessagesAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
@@ -53,9 +53,9 @@
   std::unique_ptr<HandOver> executor_;
   std::vector<OriginEvent> at_origin_;
   std::vector<ExecutorEvent> at_executor_;
-  std::vector<proto::HandOverMessage> offers_;  // as they passed
+  std::vector<proto::HandOverMessage> offers_;  // in the order in which they were sent
 
-  // Delivers what these actions send, and what follows, at once.
+  // Immediately delivers the messages of these actions and all messages that follow from them.
   void Perform(base::NodeId sender, const HandOverActions& actions) {
     at_origin_.insert(at_origin_.end(), actions.origin.begin(), actions.origin.end());
     at_executor_.insert(at_executor_.end(), actions.executor.begin(), actions.executor.end());
@@ -87,10 +87,10 @@
     at_origin_.clear();
     at_executor_.clear();
     offers_.clear();
-    origin_ = std::make_unique<HandOver>(kOrigin, kLife, HandOverLimits(), random_);
-    executor_ = std::make_unique<HandOver>(kExecutor, kLife, HandOverLimits(), random_);
-    Perform(kOrigin, origin_->SetTable(TableOf(kLife), now_));
-    Perform(kExecutor, executor_->SetTable(TableOf(kLife), now_));
+    origin_ = std::make_unique<HandOver>(kOrigin, kIncarnation, HandOverLimits(), random_);
+    executor_ = std::make_unique<HandOver>(kExecutor, kIncarnation, HandOverLimits(), random_);
+    Perform(kOrigin, origin_->SetTable(TableOf(kIncarnation), now_));
+    Perform(kExecutor, executor_->SetTable(TableOf(kIncarnation), now_));
     Perform(kExecutor, executor_->OnTimer({1, 0, true}, now_));
   }
 
@@ -120,7 +120,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, executor_->Executor().Size());
   }
 
-  void OnlyAPeerThatAnnouncedRoomIsAsked() {
+  void OnlyAPeerThatAnnouncedCapacityIsChosen() {
     CPPUNIT_ASSERT(Offer());
     HandOverActions actions;
     HandOverRequest second = MakeRequest(now_ + seconds(10));
@@ -129,7 +129,7 @@
     Perform(kExecutor, executor_->OnTimer({1, 0, false}, now_));
     CPPUNIT_ASSERT(!origin_->Origin().Offer(second, HandOverNeed::kCannotRunHere, now_, actions));
     Perform(kExecutor, executor_->OnTimer({1, 0, true}, now_));
-    now_ += HandOverLimits().load_freshness;
+    now_ += HandOverLimits().max_load_age;
     second.deadline = now_ + seconds(10);
     CPPUNIT_ASSERT(!origin_->Origin().Offer(second, HandOverNeed::kCannotRunHere, now_, actions));
     CPPUNIT_ASSERT(actions.send.empty());
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT(RefusalAtOrigin().retry_after == seconds(3));
   }
 
-  void ANewLifeOfThePeerLeavesTheOutcomeUnknown() {
+  void ANewIncarnationOfThePeerLeavesTheOutcomeUnknown() {
     CPPUNIT_ASSERT(Offer());
     Perform(kOrigin, origin_->SetTable(TableOf(base::Incarnation(8)), now_));
     CPPUNIT_ASSERT_EQUAL(RequestOutcome::kOutcomeUnknown, RefusalAtOrigin().outcome);
@@ -156,7 +156,7 @@
 
   void ASilentPeerLeavesTheOutcomeUnknown() {
     CPPUNIT_ASSERT(Offer());
-    now_ += HandOverLimits().silence;
+    now_ += HandOverLimits().peer_timeout;
     const HandOverActions actions = origin_->OnTimer({}, now_);
     Perform(kOrigin, actions);
     CPPUNIT_ASSERT_EQUAL(RequestOutcome::kOutcomeUnknown, RefusalAtOrigin().outcome);
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, at_executor_.size());
   }
 
-  void AnOfferThatWasCancelledBeforeItCameRunsNothing() {
+  void AnOfferCancelledBeforeItArrivedRunsNothing() {
     HandOverActions offer;
     CPPUNIT_ASSERT(origin_->Origin().Offer(MakeRequest(now_ + seconds(10)),
                                            HandOverNeed::kCannotRunHere, now_, offer));
@@ -186,15 +186,16 @@
   void TheBetterOfTwoPeersIsChosen() {
     PeerLoads loads(kOrigin, HandOverLimits());
     routing::BucketTable table;
-    table.agents = {{base::NodeId(2), kLife, {}, ""}, {base::NodeId(3), kLife, {}, ""}};
+    table.agents = {{base::NodeId(2), kIncarnation, {}, ""},
+                    {base::NodeId(3), kIncarnation, {}, ""}};
     loads.SetTable(table);
     for (const std::uint64_t node : {2, 3}) {
       proto::HandOverLoad load;
       load.set_node(node);
-      load.set_incarnation(kLife.value());
+      load.set_incarnation(kIncarnation.value());
       load.set_free_slots(node == 2 ? 9 : 3);
       load.set_takes_requests(true);
-      loads.Learn(load, now_);
+      loads.Update(load, now_);
     }
     int chosen_busier = 0;
     constexpr int kChoices = 400;
@@ -202,15 +203,15 @@
       const auto peer = loads.Choose(HandOverNeed::kShorterWait, {}, random_, now_);
       chosen_busier += peer->node == base::NodeId(3) ? 1 : 0;
     }
-    // Only where both draws fall on it: a quarter.
+    // The busier peer is chosen only if both draws select it: in a quarter of the cases.
     CPPUNIT_ASSERT(chosen_busier > kChoices / 8 && chosen_busier < kChoices * 3 / 8);
   }
 
-  void OnlyNeedMovesARequest() {
+  void OnlyDrainsAndLongWaitsCauseAHandOver() {
     const HandOverLimits limits;
     LocalSituation situation;
     CPPUNIT_ASSERT(!FindHandOverNeed(situation, limits));
-    situation.estimated_wait = limits.longest_wait + milliseconds(1);
+    situation.estimated_wait = limits.max_local_wait + milliseconds(1);
     CPPUNIT_ASSERT(FindHandOverNeed(situation, limits) == HandOverNeed::kShorterWait);
     situation.is_draining = true;
     CPPUNIT_ASSERT(FindHandOverNeed(situation, limits) == HandOverNeed::kCannotRunHere);
