--- a/libs/placement/include/gaugevalve/placement/balancer_core.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_core.h
@@ -14,7 +14,7 @@
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/placement/agent_directory.h"
 #include "gaugevalve/placement/agent_discovery.h"
-#include "gaugevalve/placement/agent_questions.h"
+#include "gaugevalve/placement/agent_queries.h"
 #include "gaugevalve/placement/dead_flows.h"
 #include "gaugevalve/placement/endpoint_chooser.h"
 #include "gaugevalve/placement/evacuated_zones.h"
@@ -133,7 +133,7 @@
 
   /// The flows whose agents were given up, together with their machines as far as this balancer can
   /// tell, and whose clients are silent: they are to be reset.
-  DeadFlows& DeadOnes() { return m_dead; }
+  DeadFlows& FlowsToReset() { return m_dead; }
 
   /// Returns whether the process has just started or woken from a pause: what it receives may have
   /// waited in its sockets for as long as it stood still.
@@ -235,7 +235,7 @@
   base::RandomSource& m_random;
   AgentDirectory m_agents;
   AgentDiscovery m_discovery;
-  AgentQuestions m_suspects;                        // agents that packets seem to be lost at
+  AgentQueries m_suspects;                          // agents that packets seem to be lost at
   std::vector<base::SocketAddress> m_new_suspects;  // to be asked at once
   bool m_has_learned = false;                       // since the start or the last pause
   EndpointChooser m_chooser;
--- a/libs/placement/include/gaugevalve/placement/forward_header.h
+++ b/libs/placement/include/gaugevalve/placement/forward_header.h
@@ -66,7 +66,7 @@
 /// The way of a packet whose flow's holder is searched for: agents pass it on among themselves, so
 /// that a search costs its balancer one packet.
 struct SearchRoute {
-  static constexpr std::size_t kMostAgents = 48;
+  static constexpr std::size_t kMaxAgents = 48;
 
   base::SocketAddress origin;             ///< the balancer that searches
   std::vector<base::SocketAddress> next;  ///< agents to ask after this one, in order
--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -22,7 +22,7 @@
 constexpr base::Duration kQuietTime = std::chrono::milliseconds(300);
 // A suspect that answers nothing for this part of the silence limit is no longer taken for the
 // holder of a flow. Half: restarted agents were back within 0.57 s, by plan, and 0.85 s after total
-// stops (logs, docs/design/0018 and AgentQuestions::kRetryPause), and each client
+// stops (logs, docs/design/0018 and AgentQueries::kRetryPause), and each client
 // of a flow that has gone waits for it.
 constexpr int kSuspectPart = 2;
 
@@ -30,7 +30,7 @@
 unsigned SuspectQuestions(base::Duration silence_limit) {
   constexpr unsigned kLeast = 4;  // some may be lost
   const auto count =
-      static_cast<unsigned>(silence_limit / kSuspectPart / AgentQuestions::kRetryPause);
+      static_cast<unsigned>(silence_limit / kSuspectPart / AgentQueries::kRetryPause);
   return std::max(kLeast, count);
 }
 
--- a/libs/placement/tests/dead_flows_test.cpp
+++ b/libs/placement/tests/dead_flows_test.cpp
@@ -78,7 +78,7 @@
     OpenAtAgent(2);
     m_now += seconds(2);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_agent->NoteEndpointGone(m_now));
-    const std::vector<DeadFlow> dead = m_agent->DeadOnes().TakeSome();
+    const std::vector<DeadFlow> dead = m_agent->FlowsToReset().TakeSome();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, dead.size());
     CPPUNIT_ASSERT_EQUAL(5000U, dead.front().acknowledged);
   }
@@ -173,7 +173,7 @@
       m_balancer->OnReport(Node(1), Report(++m_sequence), m_now);
     }
     m_balancer->Tick(m_now);
-    for (const DeadFlow& dead : m_balancer->DeadOnes().TakeSome()) {
+    for (const DeadFlow& dead : m_balancer->FlowsToReset().TakeSome()) {
       m_reset.push_back(dead);
     }
   }
--- a/libs/placement/tests/flow_snapshot_test.cpp
+++ b/libs/placement/tests/flow_snapshot_test.cpp
@@ -304,7 +304,7 @@
     return m_core->OnReturnedPacket(packet, header, decision.agent, m_now);
   }
 
-  std::vector<DeadFlow> Reset() { return m_core->DeadOnes().TakeSome(); }
+  std::vector<DeadFlow> Reset() { return m_core->FlowsToReset().TakeSome(); }
 
   base::RandomSource m_random{1};
   std::optional<BalancerCore> m_core;
--- a/proofs/placement/src/placement_world.cpp
+++ b/proofs/placement/src/placement_world.cpp
@@ -241,7 +241,7 @@
                         {},
                         0,
                         0});
-  } else if (decision.verdict == AgentVerdict::kPassOn) {
+  } else if (decision.verdict == AgentVerdict::kForwardToNextAgent) {
     PassOn(datagram.packet, decision);
   } else if (decision.verdict == AgentVerdict::kDeliver) {
     // The way from an agent to the endpoint beside it keeps the order; it may still be late.
@@ -316,17 +316,17 @@
     network_.push_back(
         {Hop::kToBalancer, IndexOf(decision.balancer), agent, clean, decision.header, {}, 0, 0});
   }
-  if (decision.verdict == AgentVerdict::kPassOn) {
+  if (decision.verdict == AgentVerdict::kForwardToNextAgent) {
     PassOn(clean, decision);
   }
   if (decision.verdict != AgentVerdict::kToClient) {
     return;
   }
-  if (decision.searcher) {
+  if (decision.searching_balancer) {
     placement::ForwardHeader header;
     header.service = agents_[agent].endpoint.service;
     network_.push_back(
-        {Hop::kHolding, IndexOf(*decision.searcher), agent, clean, header, {}, 0, 0});
+        {Hop::kHolding, IndexOf(*decision.searching_balancer), agent, clean, header, {}, 0, 0});
   }
   Flow& flow = FlowOf(packet);
   if (packet.is_synchronizing && flow.endpoint_sequence == 0) {
