--- a/libs/placement/include/gaugevalve/placement/agent_core.h
+++ b/libs/placement/include/gaugevalve/placement/agent_core.h
@@ -1,5 +1,6 @@
 /// @file
-/// An agent's decisions: what reaches the endpoint beside it, and where the endpoint's packets go.
+/// Agent decision core: which packets are delivered to the local endpoint, and where packets from
+/// the endpoint are sent.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -32,18 +33,23 @@
   base::ServiceId service;
   std::string zone;
   base::Duration announcement_period = std::chrono::seconds(1);
-  base::Duration drain_limit = std::chrono::seconds(3);  ///< see EndpointGate's memory limit
+  /// EndpointGate uses two thirds of it as `memory_limit`.
+  base::Duration drain_limit = std::chrono::seconds(3);
   std::size_t flow_limit = 50'000;
   std::size_t balancer_limit = 2'048;
-  /// Whether an endpoint that resets requests is passed over for a while; see OutlierDetector.
+  /// Whether an endpoint that resets requests is temporarily given no new flows; see
+  /// OutlierDetector.
   bool ejects_failing = true;
-  /// Whether requests on open flows wait here while the endpoint is full, the more urgent first.
+  /// Whether requests on open flows are queued at the agent while the endpoint is full, in order of
+  /// priority.
   bool queues_requests = false;
-  /// No flow is older.
+  /// Maximum age of a flow.
   base::Duration flow_lifetime = std::chrono::seconds(60);
-  /// Whether the endpoint held no flow when the agent started.
+  /// Whether the endpoint was started together with the agent, so that it held no flow at that
+  /// time.
   bool starts_with_endpoint = false;
-  /// What cold endpoints may be given above their service's rate; nothing for no bound.
+  /// How far the openings sent to a cold endpoint may exceed the service's rate; empty for no
+  /// bound.
   std::optional<WarmUpTolerance> warm_up_tolerance{};
 };
 
@@ -52,163 +58,171 @@
   kReturn,
   kForwardToNextAgent,
   kToClient,
-  kQueue,  ///< keep the packet until AgentCore::TakeReleased() names its flow
+  kQueue,  ///< keep the packet until AgentCore::TakeReleased() returns its flow
   kDrop
 };
 
-/// What an announcement of the endpoint came to.
+/// Result of processing one announcement of the endpoint.
 struct AnnouncementResult {
   AnnouncementOutcome outcome = AnnouncementOutcome::kTaken;
-  bool is_successor = false;   ///< of an incarnation that started earlier and has ended
-  std::size_t dead_flows = 0;  ///< of its former life, given out by AgentCore::FlowsToReset()
+  bool is_successor = false;  ///< the incarnation replaced one that started earlier and has ended
+  /// Number of flows of the previous incarnation added to AgentCore::FlowsToReset().
+  std::size_t dead_flows = 0;
 };
 
-/// Flows that no longer wait.
+/// Flows whose requests have left the queue.
 struct QueueRelease {
-  std::vector<FlowKey> passed;  ///< their packets go to the endpoint now, in this order
-  /// Their callers have given up, or more urgent ones took their place: drop the packets. Nothing
-  /// of them has reached the endpoint.
+  std::vector<FlowKey> passed;  ///< packets to be sent to the endpoint now, in this order
+  /// Flows whose queued packets are to be dropped, because the caller's time limit has passed or a
+  /// more urgent request took the place in the queue. None of these packets has reached the
+  /// endpoint.
   std::vector<FlowKey> dropped;
 };
 
-/// What became of requests on open flows.
+/// Counters of requests on open flows that were queued.
 struct QueueCounters {
   std::uint64_t queued = 0;
-  std::uint64_t given_up = 0;  ///< their callers had, while they waited
+  std::uint64_t given_up = 0;  ///< dropped because the caller's time limit passed in the queue
   std::uint64_t dropped_on_full_queue =
-      0;  ///< dropped from a full queue; their callers send them again
+      0;  ///< dropped because the queue was full; the clients retransmit them
 };
 
-/// What to do with one packet.
+/// Action for one packet.
 struct AgentDecision {
   AgentVerdict verdict = AgentVerdict::kDrop;
   std::uint32_t mark =
-      0;  ///< for kDeliver and kQueue: the endpoint gives it back if it doesn't take it
+      0;  ///< for kDeliver and kQueue: the endpoint returns it with a packet that it bounces
   base::SocketAddress balancer;  ///< for kReturn
   ForwardHeader header;          ///< for kReturn and kForwardToNextAgent
   base::SocketAddress next;      ///< for kForwardToNextAgent: the next agent of the search
-  SearchRoute route;             ///< for kForwardToNextAgent: what is left of it
-  /// For kToClient: a balancer that searches for this flow's owner and is to be told.
+  SearchRoute route;             ///< for kForwardToNextAgent: the remaining agents
+  /// For kToClient: the balancer that is searching for this flow's holder and has to be notified.
   std::optional<base::SocketAddress> searching_balancer;
 };
 
-/// Decision core. Not thread-safe.
+/// Decision core of an agent. Not thread-safe.
 class AgentCore {
  public:
   explicit AgentCore(AgentCoreSettings settings);
 
-  /// A client's packet that `sender`, a balancer, or an agent of a search, passed on.
-  /// @param route  the search's; empty when there is none
+  /// Processes a client packet that was forwarded by `sender`, a balancer or another agent of a
+  /// search.
+  /// @param route  remaining route of the search; empty when the packet is not part of one
   AgentDecision OnForwarded(const FlowPacket& packet, const ForwardHeader& header,
                             const SearchRoute& route, const base::SocketAddress& sender,
                             base::TimePoint now);
 
-  /// A packet from the endpoint. @param mark  what it carries back when it is bounced
+  /// Processes a packet from the endpoint.
+  /// @param mark  mark that a bounced packet carries
   AgentDecision OnEndpointPacket(const FlowPacket& packet, std::uint32_t mark, base::TimePoint now);
 
   EndpointGate& Gate() { return m_gate; }
 
-  /// Takes an announcement of the endpoint. Where it started after the incarnation that was known,
-  /// the flows of that one are dead: their clients are told before they send on them, and requests
-  /// that wait for it are dropped.
-  /// @param unix_ms  the time of day, in the terms of EndpointIncarnation::started_ms
+  /// Processes an announcement of the endpoint. If the announced incarnation started after the
+  /// known one, the flows of the old incarnation are dead: their clients are reset before they send
+  /// on them again, and requests queued for it are dropped.
+  /// @param unix_ms  current time of day, on the same scale as EndpointIncarnation::started_ms
   AnnouncementResult OnAnnouncement(const Announcement& announcement, std::uint64_t unix_ms,
                                     base::TimePoint now);
 
-  /// Takes which zones are evacuated: while the agent's own is, new flows are returned, however
-  /// little the balancer that sends them knows. The agent tells balancers in its reports.
+  /// Updates the set of evacuated zones. While the agent's own zone is evacuated, new flows are
+  /// returned even if the sending balancer doesn't know of the evacuation. Agent reports pass the
+  /// set on to balancers.
   /// @return  whether the zones have changed
   bool TakeEvacuated(const EvacuatedZones& evacuated, base::TimePoint now);
   const EvacuatedZones& Evacuated() const { return m_evacuated; }
-  /// Takes what a balancer remembers of the agent's former life, besides Gate().Remember().
+  /// Restores the held addresses that a balancer remembers from the agent's previous incarnation.
+  /// Complements Gate().Remember().
   void RememberHeld(const HeldAddresses& memory, base::TimePoint now) {
     m_held.Remember(memory, now);
   }
 
-  /// Sets the version of the configuration that reports say the agent holds; 0 for none.
+  /// Sets the configuration version that reports give as held by the agent; 0 for none.
   void SetHeldRoutes(std::uint64_t version) { m_held_routes = version; }
 
-  /// Takes what the configuration says of the service's cold endpoints.
+  /// Sets the configured opening rate of the service's cold endpoints.
   void SetWarmUpRate(const WarmUpRate& rate) { m_warm_up.SetRate(rate); }
 
-  /// Returns whether the endpoint is cold, or may be: from a start, or since its zone was taken
-  /// back.
+  /// Returns whether the endpoint is or may be cold, because it has started recently or because the
+  /// evacuation of its zone has just ended.
   bool MayBeCold(base::TimePoint now) const;
 
-  /// Takes what the priorities of the service's requests mean. Until then none waits.
+  /// Sets the request classes of the service's priorities. Until the first call no request is
+  /// queued.
   void SetClasses(const RequestClassTable& classes) { m_queue.SetClasses(classes); }
 
-  /// Returns the flows whose requests may go on now. Call after each batch of packets, and in each
-  /// period of Tick().
+  /// Returns the flows whose queued requests are to be sent or dropped now. Call after each batch
+  /// of packets and after each Tick().
   QueueRelease TakeReleased(base::TimePoint now);
 
-  /// Nothing listens at the endpoint's address: the flows that it held are dead. Those whose
-  /// clients' acknowledgements were seen are given out by FlowsToReset().
-  /// @return  how many
+  /// Processes the finding that nothing listens at the endpoint's address: the flows it held are
+  /// dead. Those whose clients' acknowledgement numbers are known are added to FlowsToReset().
+  /// @return  how many flows were added
   std::size_t NoteEndpointGone(base::TimePoint now);
 
-  /// The flows that are to be reset towards their clients.
+  /// Flows whose clients are to be sent a reset.
   DeadFlows& FlowsToReset() { return m_dead; }
 
-  /// Returns how many requests wait here, by priority.
+  /// Returns the number of requests queued at the agent, by priority.
   const PriorityCounts& Queued() const { return m_queue.Counts(); }
   const QueueCounters& QueueTotals() const { return m_queue_counters; }
 
   bool IsEvacuated() const { return m_evacuated.Has(m_settings.zone); }
 
-  /// From now on the agent takes no new flow: its process ends. Its endpoint, if it said that it
-  /// leaves, has ended by then.
+  /// Makes the agent refuse new flows because its process is about to end. If the endpoint has
+  /// announced that it is leaving, it has already ended at this point.
   void Stop() { m_is_stopping = true; }
 
-  /// Returns the agent's account of itself.
+  /// Returns a report on the agent and its endpoint.
   AgentReport MakeReport(base::TimePoint now);
 
-  /// When to report to whom; MakeReport() says how often that is.
+  /// Schedule of reports to balancers; MakeReport() includes its period.
   ReportSchedule& Reports() { return m_reports; }
 
-  /// Returns the endpoint's standing as reported.
+  /// Returns the endpoint's standing as given in reports.
   EndpointStanding Standing(base::TimePoint now) const;
 
-  /// Updates averages and forgets idle flows. Call every `kTickPeriod`.
+  /// Updates averages and removes idle flows. Call every `kTickPeriod`.
   void Tick(base::TimePoint now);
   static constexpr base::Duration kTickPeriod = std::chrono::milliseconds(50);
 
   std::size_t FlowCount() const { return m_flows.size(); }
 
-  /// What became of the flows of the endpoint's present incarnation.
+  /// Outlier detection for the endpoint's current incarnation.
   OutlierDetector& OutlierDetection();
 
  private:
-  // An opening without a request counts as a coming request for this long.
+  // For this long an opening without a request counts as a request that is about to arrive.
   static constexpr base::Duration kOpeningTime = std::chrono::milliseconds(300);
 
   enum class FlowState : std::uint8_t {
     kOpening,
     kIdle,
-    kWaiting,  // for the endpoint's answer
-    kQueued,   // the request hasn't gone to the endpoint yet
+    kWaiting,  // the endpoint's answer is pending
+    kQueued,   // the request has not been sent to the endpoint yet
   };
 
   struct FlowRecord {
     FlowState state = FlowState::kIdle;
-    base::TimePoint since{};  // of the state
+    base::TimePoint since{};  // when the state was entered
     base::TimePoint last_packet{};
     base::TimePoint held_at{};     // when the endpoint last sent a packet of the flow
-    std::uint32_t client_end = 0;  // the client's data is known up to here
+    std::uint32_t client_end = 0;  // end of the client's data seen so far, as a sequence number
     bool has_client_end = false;
-    std::uint32_t acknowledged = 0;  // by the client, last
+    std::uint32_t acknowledged = 0;  // last acknowledgement number from the client
     bool has_acknowledged = false;
-    std::uint32_t request_begin = 0;  // of the request under way
-    std::uint32_t queued_end = 0;     // the client's data up to here waits
-    bool is_held = false;             // the endpoint was seen to hold the flow
-    bool is_large = false;            // the request under way takes long to arrive
-    bool is_stuck = false;            // its answer is overdue by far
+    std::uint32_t request_begin = 0;  // sequence number at which the current request begins
+    std::uint32_t queued_end = 0;     // end of the client's queued data, as a sequence number
+    bool is_held = false;             // the endpoint has sent a packet of the flow
+    bool is_large = false;            // the current request takes long to arrive
+    bool is_stuck = false;            // the answer is long overdue
     bool client_closed = false;
     bool endpoint_closed = false;
     std::optional<base::SocketAddress> searching_balancer;
-    SearchRoute route;  // where the flow's packets go on if the endpoint doesn't hold it
+    SearchRoute route;  // next agents of the search if the endpoint doesn't hold the flow
     std::uint8_t search_round = 0;
-    bool is_not_held = false;  // kept for its route only
+    // The endpoint doesn't hold the flow; the record is kept for its route.
+    bool is_not_held = false;
   };
 
   AgentDecision OnForwardedOpening(const FlowPacket& packet, const ForwardHeader& header,
@@ -246,7 +260,7 @@
   void Abandon(const FlowKey& flow, base::TimePoint now);
   void NoteRequestSize(FlowRecord& record);
   void NoteStuck(FlowRecord& record, base::TimePoint now);
-  // Whether byte number `left` comes after `right`, around the end of the number range.
+  // Returns whether sequence number `left` follows `right`, with wrap-around.
   static bool IsAfterByte(std::uint32_t left, std::uint32_t right) {
     return static_cast<std::int32_t>(left - right) > 0;
   }
@@ -254,24 +268,26 @@
   AgentCoreSettings m_settings;
   EndpointGate m_gate;
   EvacuatedZones m_evacuated;
-  std::optional<base::TimePoint> m_taken_back_at;  // the agent's zone
+  // When the evacuation of the agent's zone last ended.
+  std::optional<base::TimePoint> m_taken_back_at;
   WarmUpLimiter m_warm_up;
   HeldAddressTracker m_held;
   absl::flat_hash_map<FlowKey, FlowRecord> m_flows;
-  std::vector<base::SocketAddress> m_balancers;  // an index is part of a mark
+  // The upper bits of a mark are an index into this list.
+  std::vector<base::SocketAddress> m_balancers;
   std::uint64_t m_report_sequence = 0;
-  std::uint64_t m_held_routes = 0;  // version of the configuration that the agent holds
+  std::uint64_t m_held_routes = 0;  // configuration version held by the agent; 0 for none
   ReportSchedule m_reports;
   OutlierDetector m_outcomes;
-  EndpointIncarnation m_monitored;  // that they are of
+  EndpointIncarnation m_monitored;  // incarnation that m_outcomes describes
   DeadFlows m_dead;
   RequestQueue m_queue;
-  std::vector<FlowKey> m_displaced;  // more urgent ones took their places
+  std::vector<FlowKey> m_displaced;  // flows that lost their place in the queue to more urgent ones
   QueueCounters m_queue_counters;
-  EndpointIncarnation m_queued_for;  // that the waiting requests are for
-  std::uint32_t m_waiting = 0;       // for answers
-  std::uint32_t m_large = 0;         // of them
-  std::uint32_t m_stuck = 0;         // of them, and not large
+  EndpointIncarnation m_queued_for;  // incarnation that the queued requests are meant for
+  std::uint32_t m_waiting = 0;       // flows in state kWaiting
+  std::uint32_t m_large = 0;         // those of m_waiting with a large request
+  std::uint32_t m_stuck = 0;         // those of m_waiting that are stuck and not large
   std::uint32_t m_opening = 0;
   std::uint32_t m_open_flows = 0;  // as of the last sweep
   double m_busy_average = 0;
--- a/libs/placement/include/gaugevalve/placement/agent_directory.h
+++ b/libs/placement/include/gaugevalve/placement/agent_directory.h
@@ -1,5 +1,5 @@
 /// @file
-/// The agents that a balancer knows, from their reports.
+/// Directory of the agents that a balancer knows from their reports.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,97 +17,100 @@
 
 namespace gaugevalve::placement {
 
-/// One agent as its last report has it, and what this balancer has sent it since.
+/// An agent as described by its last report, and what this balancer has sent to it since.
 struct KnownAgent {
   base::SocketAddress address;
   AgentReport report;
-  std::uint32_t zone = 0;                  ///< ZoneHash() of its zone, also before its first report
-  base::Incarnation previous_incarnation;  ///< of the agent; what still comes from it is late
+  std::uint32_t zone = 0;  ///< ZoneHash() of its zone; known from listings before the first report
+  /// Previous incarnation of the agent; its reports are stale.
+  base::Incarnation previous_incarnation;
   base::TimePoint heard_at{};
-  base::TimePoint reported_at{};          ///< its last whole report, which names the endpoint
-  bool is_only_listed = false;            ///< by somebody else; not heard here
-  std::uint32_t placed_since_report = 0;  ///< opening packets passed to it since the last report
-  /// The first opening packet passed to it since it was last heard.
+  base::TimePoint reported_at{};          ///< last full report, which names the endpoint
+  bool is_only_listed = false;            ///< known from a listing only; no report received
+  std::uint32_t placed_since_report = 0;  ///< opening packets sent to it since the last report
+  /// Time of the first opening packet sent to it since it was last heard.
   std::optional<base::TimePoint> unanswered_since;
-  base::TimePoint passed_over_until{};  ///< it is cold and has got what it bears
-  double placed_share = 0;              ///< of this balancer's openings, decaying; for ties
-  /// The newest report that knew the endpoint, also of an earlier life: a restarted agent asks for
-  /// it.
+  /// End of the pause in new flows after a cold endpoint reached its limit.
+  base::TimePoint passed_over_until{};
+  double placed_share = 0;  ///< decaying share of this balancer's openings; breaks ties
+  /// The newest report whose endpoint was known, possibly from an earlier incarnation of the agent.
+  /// A restarted agent requests it.
   std::optional<AgentReport> memory;
   base::TimePoint memory_at{};
 };
 
-/// What a report changed.
+/// Effect of a report on the directory.
 enum class ReportOutcome : std::uint8_t {
-  kNew,              ///< an agent not known before, or another life of one
-  kStandingChanged,  ///< its endpoint may or may not take new flows from now on
+  kNew,              ///< an unknown agent, or a new incarnation of a known one
+  kStandingChanged,  ///< the endpoint's readiness for new flows may have changed
   kTaken,
-  kLate,  ///< older than one taken before
+  kLate,  ///< older than a report processed before
 };
 
-/// Bounded by `limit` agents; when full, agents not known yet are ignored. Not thread-safe.
+/// Agents known to a balancer, at most `limit`. When the directory is full, unknown agents are
+/// ignored. Not thread-safe.
 class AgentDirectory {
  public:
-  /// @param fresh_for  how long a report speaks for the agent's present state, at least; longer for
-  ///                   agents that say that they report less often
+  /// @param fresh_for  minimum time for which a report counts as current; longer for agents that
+  ///                   announce a longer report period
   AgentDirectory(std::size_t limit, base::Duration fresh_for)
       : m_limit(limit), m_fresh_for(fresh_for) {}
 
   ReportOutcome Take(const base::SocketAddress& address, const AgentReport& report,
                      base::TimePoint now);
 
-  /// Takes how busy a known agent is.
-  /// @return  false for an agent or a life that isn't known, and for late notices
+  /// Updates the load of a known agent.
+  /// @return  false if the agent or its incarnation is unknown, or the notice is stale
   bool TakeLoad(const base::SocketAddress& address, const LoadNotice& notice, base::TimePoint now);
 
-  /// Notes an agent that somebody else has heard: it isn't fresh until it reports, but may hold
-  /// flows. Known agents are left as they are.
+  /// Adds an agent that another node has listed. It isn't fresh until it reports, but it may hold
+  /// flows. Agents already known are not changed.
   void NoteListed(const ListedAgent& listed, base::TimePoint now);
 
-  /// Notes that an opening packet was passed to the agent: it is to be heard soon.
+  /// Records that an opening packet was sent to the agent, so that an answer is expected soon.
   static void NoteOpening(KnownAgent& agent, base::TimePoint now);
 
-  /// Notes a sign of life other than a report.
+  /// Records a sign that the agent is alive, other than a report.
   void NoteActivity(const base::SocketAddress& address);
 
-  /// Returns how long an agent may be silent before it is taken for gone: `least`, or longer where
-  /// it says that it reports less often.
+  /// Returns the silence after which an agent counts as gone: `least`, or longer if the agent
+  /// announces a longer report period.
   static base::Duration SilenceLimit(const KnownAgent& agent, base::Duration least);
 
-  /// Counts what happened before as later by `gap`, in which nothing could be heard.
+  /// Shifts recorded times forward by `gap`, a span in which nothing could be received.
   void SkipTime(base::Duration gap);
 
-  /// Forgets agents not heard for `silence`, or longer where they report less often.
-  /// @return  how many
+  /// Removes agents not heard for `silence`, or for longer if they announce a longer report period.
+  /// @return  how many were removed
   std::size_t ForgetSilent(base::Duration silence, base::TimePoint now);
 
   KnownAgent* Find(const base::SocketAddress& address);
 
-  /// Returns the agents of a service in an order that is the same on every balancer. Valid until
-  /// the next change of the directory.
+  /// Returns the agents of a service, in the same order on every balancer. The pointers are valid
+  /// until the directory changes.
   std::vector<KnownAgent*> OfService(base::ServiceId service);
 
-  /// Returns the agents of all other services, in an order that is the same on every balancer.
-  /// Valid until the next change of the directory.
+  /// Returns the agents of all other services, in the same order on every balancer. The pointers
+  /// are valid until the directory changes.
   std::vector<KnownAgent*> OutsideServices(std::span<const base::ServiceId> services);
 
-  /// Returns whether what is known of the agent still holds, as far as its reports can tell.
+  /// Returns whether the agent's last report is recent enough to be relied on.
   bool IsFresh(const KnownAgent& agent, base::TimePoint now) const;
 
-  /// Returns all agents in the order of their addresses, for listings.
+  /// Returns all agents ordered by address, for listings.
   std::vector<const KnownAgent*> All() const;
   bool IsEmpty() const { return m_agents.empty(); }
   std::size_t Size() const { return m_agents.size(); }
 
-  /// Returns whether the agent is worth naming to others: its endpoint is there, and it hasn't said
-  /// that it ends.
+  /// Returns whether the agent should be listed to other nodes: its endpoint exists and the agent
+  /// has not announced its end.
   static bool IsPresent(const KnownAgent& agent);
 
-  /// Returns how many agents are present.
+  /// Returns the number of present agents.
   std::size_t PresentCount() const;
 
-  /// Returns how many agents have been heard, not just listed. Those that said they end, or have no
-  /// endpoint, are among them: they are found, and others may still count them.
+  /// Returns the number of agents that have been heard, as opposed to only listed. This includes
+  /// agents that are stopping or have no endpoint, because other nodes may still count them.
   std::size_t HeardCount() const;
 
  private:
--- a/libs/placement/include/gaugevalve/placement/agent_queries.h
+++ b/libs/placement/include/gaugevalve/placement/agent_queries.h
@@ -1,5 +1,5 @@
 /// @file
-/// Questions to agents that haven't been heard, and which of them don't answer.
+/// Queries to agents that have not been heard, and which agents don't answer.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -14,51 +14,53 @@
 
 namespace gaugevalve::placement {
 
-/// Decision core: asks an agent at once, a few times more, and gives it up when nothing comes back;
-/// then it is asked seldom, so that one that returns is heard soon. All at a bounded rate and
-/// bounded in number. Not thread-safe.
+/// Decision core. Queries an agent at once and a few times more, then gives it up. An agent that
+/// was given up is queried at a longer interval, so that its return is noticed soon. The query rate
+/// and the number of agents are bounded. Not thread-safe.
 class AgentQueries {
  public:
-  /// @param most_questions  after so many without an answer an agent is given up
+  /// @param most_questions  number of unanswered queries after which an agent is given up
   explicit AgentQueries(unsigned most_questions) : m_most_questions(most_questions) {}
 
-  /// Between two questions to the same agent. One that restarts at the same moment is up sooner:
-  /// after total stops agents start 0.66 to 0.85 s and balancers 0.87 to 1.16 s later (logs).
+  /// Interval between two queries to the same agent. It is short so that a simultaneously
+  /// restarting agent is found soon after it is up: in logs of full restarts, agents were up after
+  /// 0.66 to 0.85 s and balancers after 0.87 to 1.16 s.
   static constexpr base::Duration kRetryPause = std::chrono::milliseconds(250);
 
-  /// Notes an agent that is to be asked, unless it is being asked.
-  /// @return  whether to ask it now; otherwise TakeDue() names it later
+  /// Adds an agent to query, unless it is already being queried.
+  /// @return  whether to query it now; otherwise TakeDue() returns it later
   bool Ask(const base::SocketAddress& agent, base::TimePoint now);
 
-  /// Notes that the agent has been heard: it isn't asked any more.
+  /// Records that the agent has been heard and stops querying it.
   void NoteHeard(const base::SocketAddress& agent);
 
-  /// Returns the agents to be asked now, again or for the first time. Call a few times a second.
+  /// Returns the agents to query now, for the first time or again. Call a few times a second.
   std::vector<base::SocketAddress> TakeDue(base::TimePoint now);
 
-  /// Forgets the agents for which `is_gone` holds.
+  /// Removes the agents for which `is_gone` returns true.
   void Forget(const std::function<bool(const base::SocketAddress&)>& is_gone);
 
-  /// Returns whether the agent was asked and should have answered by now.
+  /// Returns whether the agent was queried and its answer is overdue.
   bool IsOverdue(const base::SocketAddress& agent, base::TimePoint now) const;
 
-  /// Returns whether the agent has answered none of its questions.
+  /// Returns whether the agent has been given up.
   bool IsGivenUp(const base::SocketAddress& agent) const;
 
-  /// Returns how many agents have been asked and not heard, and how many of them are given up.
+  /// Return the number of agents that were queried and not heard, and how many of them were given
+  /// up.
   std::size_t Count() const { return m_questions.size(); }
   std::size_t GivenUpCount() const { return m_given_up; }
 
  private:
-  // 1,000 questions a second, so that the reports that answer them take less than 130 KB a second,
-  // and a fleet of 3,800 agents is asked within four seconds.
+  // 1,000 queries a second. The reports sent in answer take less than 130 KB a second, and a fleet
+  // of 3,800 agents is queried within four seconds.
   static constexpr std::size_t kQuestionsPerPeriod = 250;
   static constexpr base::Duration kBudgetPeriod = std::chrono::milliseconds(250);
 
   struct Question {
     base::TimePoint first_at{};
     base::TimePoint next_at{};
-    unsigned asked = 0;  // times
+    unsigned asked = 0;  // number of queries sent
     bool is_given_up = false;
   };
 
@@ -66,7 +68,8 @@
 
   unsigned m_most_questions;
   std::size_t m_given_up = 0;
-  absl::flat_hash_map<base::SocketAddress, Question> m_questions;  // of agents not heard
+  // By agent; agents that have been heard are removed.
+  absl::flat_hash_map<base::SocketAddress, Question> m_questions;
   base::RateBudget m_budget{kQuestionsPerPeriod, kBudgetPeriod};
 };
 
--- a/libs/placement/include/gaugevalve/placement/agent_report.h
+++ b/libs/placement/include/gaugevalve/placement/agent_report.h
@@ -1,5 +1,5 @@
 /// @file
-/// An agent's account of itself and of the endpoint beside it, as a plain value.
+/// Report of an agent on itself and on its endpoint, as a plain value.
 #pragma once
 
 #include <cstdint>
@@ -19,44 +19,46 @@
 
 namespace gaugevalve::placement {
 
-/// How busy an endpoint is.
+/// Load of an endpoint.
 struct EndpointLoad {
-  std::uint32_t capacity = 1;      ///< requests at a time
-  std::uint32_t busy = 0;          ///< requests without an answer yet, and openings under way
-  PriorityCounts queued{};         ///< those of them that wait at the agent, by priority
-  double busy_average = 0;         ///< of the last second or so
-  std::uint32_t open_flows = 0;    ///< as far as the agent knows
-  base::Duration answer_time{0};   ///< average from a request to its answer's first byte
-  base::Duration warm_up_left{0};  ///< how much longer it is slow from its start
+  std::uint32_t capacity = 1;      ///< maximum number of concurrent requests
+  std::uint32_t busy = 0;          ///< requests without an answer yet, and openings in progress
+  PriorityCounts queued{};         ///< those of `busy` that are queued at the agent, by priority
+  double busy_average = 0;         ///< moving average over about the last second
+  std::uint32_t open_flows = 0;    ///< number known to the agent
+  base::Duration answer_time{0};   ///< average time from a request to the first byte of its answer
+  base::Duration warm_up_left{0};  ///< remaining warm-up time after its start
 };
 
-/// An agent that somebody has heard, though perhaps not lately.
+/// An agent that another node has heard, not necessarily recently.
 struct ListedAgent {
   base::SocketAddress address;
   base::ServiceId service;
-  std::uint32_t zone = 0;  ///< ZoneHash() of its zone; 0 where it isn't known
+  std::uint32_t zone = 0;  ///< ZoneHash() of its zone; 0 if unknown
 };
 
-/// Returns what stands for a zone among nodes: the same on each of them.
+/// Returns a hash that identifies a zone in messages. It is the same on all nodes.
 std::uint32_t ZoneHash(std::string_view zone);
 
 struct AgentReport {
-  base::Incarnation life;      ///< of the agent's process; any number of its own, without order
-  std::uint64_t sequence = 0;  ///< rises with each report of this life
+  /// Incarnation of the agent's process; incarnation numbers are not ordered.
+  base::Incarnation life;
+  std::uint64_t sequence = 0;  ///< increases with each report of this incarnation
   base::ServiceId service;
   std::string zone;
   EndpointStanding standing = EndpointStanding::kUnknown;
-  EndpointIncarnation endpoint;    ///< may be empty
-  std::uint64_t announcement = 0;  ///< sequence of the newest announcement taken from it
+  EndpointIncarnation endpoint;    ///< empty if unknown
+  std::uint64_t announcement = 0;  ///< sequence number of the newest announcement accepted
   EndpointLoad load;
-  base::Duration period{0};     ///< until the agent's next report
-  bool wants_memory = false;    ///< the agent hasn't heard its endpoint since it started
-  bool is_ejected = false;      ///< the endpoint fails requests: new flows should go elsewhere
-  std::size_t agent_count = 0;  ///< of the deployment, as balancers told this agent; 0: not told
-  EvacuatedZones evacuated;     ///< as far as the agent was told
-  HeldAddresses held;           ///< virtual addresses of the flows that the endpoint holds
-  std::uint64_t routes_version = 0;  ///< of the configuration that the agent holds; 0 for none
-  std::vector<ListedAgent> fellows;  ///< other agents that it knows, where it was asked for them
+  base::Duration period{0};   ///< time until the agent's next report
+  bool wants_memory = false;  ///< the agent has not heard its endpoint since the agent started
+  bool is_ejected = false;    ///< the endpoint fails requests and should get no new flows
+  /// Agents of the deployment, as stated by balancers; 0 if not stated.
+  std::size_t agent_count = 0;
+  EvacuatedZones evacuated;          ///< as far as known to the agent
+  HeldAddresses held;                ///< virtual addresses of the flows that the endpoint holds
+  std::uint64_t routes_version = 0;  ///< configuration version that the agent holds; 0 for none
+  std::vector<ListedAgent> fellows;  ///< other agents known to this one; sent on request only
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/agent_reporter.h
+++ b/libs/placement/include/gaugevalve/placement/agent_reporter.h
@@ -1,5 +1,5 @@
 /// @file
-/// What an agent tells balancers about itself and other agents, and to whom.
+/// Reports of an agent to balancers on itself and on other agents.
 #pragma once
 
 #include <cstdint>
@@ -14,42 +14,43 @@
 
 namespace gaugevalve::placement {
 
-/// One report and the balancers it goes to.
+/// A report and its receivers.
 struct OutgoingReport {
   AgentReport report;
   std::vector<base::SocketAddress> receivers;
 };
 
-/// Decision core: an agent's counterpart of BalancerGossip. It knows balancers and a part of the
-/// other agents from greetings, and outlives all balancers: those that start again hear of it in
-/// its round of reports, and of the other agents by asking it. Not thread-safe.
+/// Decision core; the agent-side counterpart of BalancerGossip. It learns of balancers and of a
+/// sample of the other agents from greetings, and keeps both when all balancers are lost. Restarted
+/// balancers receive the agent's periodic report and can then ask it for the other agents. Not
+/// thread-safe.
 class AgentReporter {
  public:
-  /// @param self  the address under which nodes reach this agent
-  /// @param core  makes the reports; must outlive this object
+  /// @param self  address under which nodes reach this agent
+  /// @param core  creates the reports; must outlive this object
   AgentReporter(const base::SocketAddress& self, base::Incarnation life, AgentCore& core);
 
-  /// Sets the addresses that are told while fewer than a few balancers are alive.
+  /// Sets addresses that also receive reports while only a few balancers are alive.
   void SetSeeds(std::vector<base::SocketAddress> seeds) { m_balancers.SetSeeds(std::move(seeds)); }
 
-  /// Takes what a balancer tells.
-  /// @param is_new  set to whether the sender wasn't known as alive
-  /// @return  the answers, and reports to balancers that were not known
+  /// Processes a balancer's greeting.
+  /// @param is_new  set to whether the sender was not known to be alive
+  /// @return  the answer, and reports to balancers that were unknown before
   std::vector<OutgoingReport> OnGreeting(const BalancerGreeting& greeting,
                                          const base::SocketAddress& sender, base::TimePoint now,
                                          bool& is_new);
 
-  /// Returns the report to all balancers at once, for news.
+  /// Returns a report to all balancers, for changes that have to be known at once.
   OutgoingReport ReportToAll(base::TimePoint now);
 
-  /// Returns the report to those whose turn in the present round has come; begins the next round
-  /// when it is time. Call every AgentCore::kTickPeriod.
+  /// Returns the report to the balancers that are due in the current round, and starts the next
+  /// round when it is due. Call every AgentCore::kTickPeriod.
   OutgoingReport ReportInTurn(base::TimePoint now);
 
-  /// Returns whether no balancer seems to be there, so that others have to be looked for.
+  /// Returns whether no known balancer seems to be alive, so that the agent has to look for others.
   bool HasNoBalancer(base::TimePoint now) const;
 
-  /// Returns how many questions got no answer since they came too fast.
+  /// Returns the number of greetings left unanswered because of the rate limit.
   std::uint64_t SuppressedAnswerCount() const { return m_answers_left_out; }
 
  private:
@@ -59,7 +60,7 @@
   AgentCore& m_core;
   BalancerList m_balancers;
   PeerAgentList m_fellows;
-  base::TimePoint m_greeted_at{};  // by any balancer
+  base::TimePoint m_greeted_at{};  // last greeting from any balancer
   std::uint64_t m_answers_left_out = 0;
 };
 
--- a/libs/placement/include/gaugevalve/placement/configuration_replica.h
+++ b/libs/placement/include/gaugevalve/placement/configuration_replica.h
@@ -1,6 +1,6 @@
 /// @file
-/// Replicas of the operator's configuration at agents, for balancers that start while nobody else
-/// can give it to them.
+/// Replicas of the operator's configuration at agents, for balancers that start while no other
+/// source can provide it.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +14,28 @@
 namespace gaugevalve::placement {
 
 /// Decision core: whether an agent holds a replica of the configuration, and of which version.
-/// Agents outlive balancers, so a replica is there when all balancers were lost while the store
-/// answers nobody. About kReplicas agents are chosen by their addresses, however many there are, so
-/// that a change is fetched a bounded number of times. Not thread-safe.
+/// Agents outlive balancers, so replicas remain when all balancers are lost while the store is
+/// unreachable. About kReplicas agents are selected by a hash of their addresses, whatever the size
+/// of the deployment, so that a bounded number of agents fetch each change. Not thread-safe.
 class ConfigurationReplica {
  public:
-  /// Agents that hold a replica, on average; all do in smaller deployments. Enough that a balancer
-  /// which hears 1,000 agents a second meets one in some tens of milliseconds at 3,800 agents.
+  /// Average number of agents that hold a replica; in smaller deployments all agents do. With 64
+  /// replicas among 3,800 agents, a balancer that hears 1,000 agents a second hears one of the
+  /// replicas within some tens of milliseconds.
   static constexpr std::size_t kReplicas = 64;
 
-  /// @param self  the address under which nodes reach this agent
+  /// @param self  address under which nodes reach this agent
   explicit ConfigurationReplica(const base::SocketAddress& self);
 
-  /// Notes how many agents the deployment has; 0 where nobody has said.
-  /// @return  whether a replica that was held is to be dropped, as the agent isn't chosen any more:
-  ///          nobody would keep it up to date
+  /// Updates the deployment's number of agents; 0 if not stated.
+  /// @return  whether a replica is to be dropped because the agent is no longer selected and would
+  ///          not keep it up to date
   bool NoteAgentCount(std::size_t agents);
 
-  /// Returns whether the configuration of a balancer that has this version in force is to be
-  /// fetched.
+  /// Returns whether to fetch the configuration from a balancer that has this version in force.
   bool IsWanted(std::uint64_t version) const { return m_is_chosen && version > m_version; }
 
-  /// Notes that the agent holds this version from now on.
+  /// Records that the agent now holds this version.
   void Hold(std::uint64_t version) { m_version = version; }
 
   /// Returns the version that the agent holds; 0 for none.
@@ -47,25 +47,26 @@
   std::uint64_t m_version = 0;
 };
 
-/// Decision core: the agents from which a balancer may fetch a newer configuration than the one it
+/// Decision core: the agents from which a balancer can fetch a newer configuration than the one it
 /// has in force. Not thread-safe.
 class ConfigurationOffers {
  public:
-  /// Agents may have been cut off and hold an old version: offers are compared for so long before
-  /// the first one is taken. The store and peers answer sooner where they do.
+  /// Time for which offers are collected before the first one is taken, because an agent that was
+  /// partitioned may hold an old version. The store and peers, if reachable, answer sooner.
   static constexpr base::Duration kCompareTime = std::chrono::milliseconds(150);
 
-  /// Notes that an agent holds a replica.
-  /// @param in_force  the balancer's own version; offers that aren't newer are left out
+  /// Records that an agent holds a replica.
+  /// @param in_force  the balancer's own version; offers that aren't newer are ignored
   void Note(const base::SocketAddress& agent, std::uint64_t version, std::uint64_t in_force,
             base::TimePoint now);
 
-  /// Returns the agent to fetch from now, one with the newest version on offer, and forgets its
-  /// offer. Call when no fetch is under way: where one fails, the next agent is returned.
+  /// Returns an agent with the newest version on offer, to fetch from now, and removes its offer.
+  /// Call when no fetch is in progress; after a failed fetch, call it again for the next agent.
   std::optional<base::SocketAddress> TakeBest(std::uint64_t in_force, base::TimePoint now);
 
  private:
-  // The newest are kept; one that fails is replaced by another within a report or two.
+  // The newest offers are kept. An offer whose fetch failed is replaced by the next one or two
+  // reports.
   static constexpr std::size_t kMostOffers = 8;
 
   struct Offer {
@@ -75,8 +76,8 @@
 
   void DropOutdated(std::uint64_t in_force);
 
-  std::vector<Offer> m_offers;         // the newest version first
-  base::TimePoint m_first_noted_at{};  // of the present ones
+  std::vector<Offer> m_offers;         // in descending order of version
+  base::TimePoint m_first_noted_at{};  // when the first of the current offers was recorded
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/endpoint_chooser.h
+++ b/libs/placement/include/gaugevalve/placement/endpoint_chooser.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which endpoint gets a new flow: the one with the least expected load.
+/// Choice of the endpoint for a new flow by least expected load.
 #pragma once
 
 #include <span>
@@ -11,19 +11,21 @@
 
 namespace gaugevalve::placement {
 
-/// Returns the expected load of an agent's endpoint for one more flow, in units of its capacity at
-/// ordinary speed: reported requests, this balancer's own openings since, and its open flows.
-/// @param ordinary_answer_time  of the service's endpoints; 0 when not known
+/// Returns the expected load of an agent's endpoint with one more flow, relative to its capacity at
+/// normal speed. Counts the reported requests, this balancer's openings since the report and the
+/// open flows.
+/// @param ordinary_answer_time  typical answer time of the service's endpoints; 0 if unknown
 double ExpectedLoad(const KnownAgent& agent, base::Duration ordinary_answer_time,
                     base::TimePoint now);
 
-/// Chooses among candidates. Ties within a margin go to the own zone, then by chance.
+/// Chooses among candidates. Candidates in the balancer's own zone have a small advantage, and near
+/// ties are broken at random.
 class EndpointChooser {
  public:
   EndpointChooser(std::string_view own_zone, base::RandomSource& random)
       : m_own_zone(own_zone), m_random(random) {}
 
-  /// @return  the candidate with the least expected load, or null when there is none
+  /// @return  the candidate with the least expected load, or null if there is none
   KnownAgent* Choose(std::span<KnownAgent* const> candidates, base::TimePoint now);
 
  private:
--- a/libs/placement/include/gaugevalve/placement/endpoint_gate.h
+++ b/libs/placement/include/gaugevalve/placement/endpoint_gate.h
@@ -1,5 +1,5 @@
 /// @file
-/// What an agent knows of the endpoint beside it, from the endpoint's own announcements.
+/// Admission state of an agent's endpoint, derived from the endpoint's announcements.
 #pragma once
 
 #include <cstdint>
@@ -14,105 +14,112 @@
 
 /// Whether an endpoint may be given new flows.
 enum class EndpointStanding : std::uint8_t {
-  kUnknown = 0,    ///< it hasn't been heard since the agent started
-  kAdmitting = 1,  ///< ready
-  kLeaving = 2,    ///< it said that it drains or ends
+  kUnknown = 0,    ///< not heard since the agent started
+  kAdmitting = 1,  ///< ready for new flows
+  kLeaving = 2,    ///< it has announced that it drains or ends
   kSilent = 3,     ///< it doesn't answer
   kStopping = 4,   ///< the agent itself is about to end
-  kAbsent = 5,     ///< nothing listens at its address: it holds no flow
+  kAbsent = 5,     ///< nothing listens at its address, so it holds no flow
 };
 
 /// Returns the standing's name for logs.
 const char* EndpointStandingName(EndpointStanding standing);
 
-/// One announcement of an endpoint.
+/// An announcement sent by an endpoint.
 struct Announcement {
   EndpointIncarnation incarnation;
   bool is_draining = false;
-  std::uint32_t capacity = 1;  ///< requests at a time
+  std::uint32_t capacity = 1;  ///< maximum number of concurrent requests
   base::Duration warm_up_left{0};
-  std::uint64_t sequence = 0;  ///< rises with each announcement of the incarnation
+  std::uint64_t sequence = 0;  ///< increases with each announcement of the incarnation
 };
 
-/// What became of an announcement.
+/// Result of processing an announcement.
 enum class AnnouncementOutcome : std::uint8_t {
   kTaken,
-  kLate,         ///< an older one than the last of its incarnation, or of one that is over
-  kUnconfirmed,  ///< of another incarnation while the present one seems to live: perhaps late
-  /// Without a start, which the endpoint's own announcements name: somebody else's.
+  kLate,  ///< older than the last one of its incarnation, or from an incarnation that has ended
+  kUnconfirmed,  ///< from another incarnation while the current one seems alive; possibly delayed
+  /// It lacks the start time that the endpoint's own announcements contain, so it has another
+  /// sender.
   kIncomplete,
 };
 
 /// Returns the outcome's name for logs.
 const char* AnnouncementOutcomeName(AnnouncementOutcome outcome);
 
-/// What a health check of the endpoint found.
+/// Result of a health check of the endpoint.
 enum class ProbeResult : std::uint8_t {
-  kHealthy,    ///< it is ready for work
-  kUnhealthy,  ///< it answered otherwise: it leaves, or fails
+  kHealthy,    ///< ready for new flows
+  kUnhealthy,  ///< it answered with an error, because it is leaving or failing
   kRefused,    ///< nothing listens at its address
   kNoAnswer,
 };
 
-/// The last gate before an endpoint: after it has acknowledged that the endpoint leaves, it admits
-/// no new flow, however stale the balancers' knowledge is. A restarted agent knows nothing and
-/// admits nothing until the endpoint is heard, or a balancer's recent memory is taken for a while.
+/// Admission control of an endpoint at its agent. Once the gate has acknowledged that the endpoint
+/// is leaving, it admits no new flow, even if balancers still send some because their state is
+/// stale. A restarted agent admits nothing until it hears the endpoint or accepts a balancer's
+/// recent memory, which is valid for a limited time.
 ///
-/// Announcements may be seconds late, so one of another incarnation may be of its predecessor,
-/// which has crashed, as well as of its successor. Numbers say nothing across incarnations. An
-/// incarnation that was heard more than once, answers and hasn't said that it leaves gives way only
-/// to one that is heard again after more than a period in which it was silent itself. One that said
-/// that it leaves, or that another has followed, never speaks again. Where both say when they
-/// started, the later start takes over at once, as two can't stand at one address; the earlier one
-/// is believed only if it is heard again after more than a period, as the clock may have been set
-/// back before it started. Two lives of one identifier that started in the same millisecond are
-/// taken for one. Not thread-safe.
+/// Announcements may arrive seconds late, so an announcement from another incarnation may come from
+/// a crashed predecessor or from the successor. Sequence numbers are not comparable across
+/// incarnations. An incarnation that was heard more than once, answers, and has not announced that
+/// it is leaving is replaced only by an incarnation that is heard again after more than one
+/// announcement period in which the current one was silent. Announcements of an incarnation that
+/// has announced that it is leaving, or that has been replaced, are no longer accepted. If both
+/// incarnations state their start times, the later start takes over at once, because two processes
+/// cannot listen at one address. The earlier start is accepted only when it is heard again after
+/// more than one period, because the clock may have been set back before that start. Two
+/// incarnations with the same identifier and the same start time in milliseconds are treated as
+/// one. Not thread-safe.
 class EndpointGate {
  public:
-  /// @param period  the interval of announcements
-  /// @param memory_limit  a remembered standing may be used this long after the agent's start
+  /// @param period  interval of announcements
+  /// @param memory_limit  time after the agent's start for which a remembered standing is valid
   EndpointGate(base::Duration period, base::Duration memory_limit)
       : m_period(period), m_memory_limit(memory_limit) {}
 
   AnnouncementOutcome Announce(const Announcement& announcement, base::TimePoint now);
 
-  /// The incarnation ends: now, without having drained, or after it.
-  /// @param incarnation  without a start: whichever is present under this identifier
+  /// Records that the incarnation ends, either without draining or after draining.
+  /// @param incarnation  if it has no start time, the current incarnation with this identifier
   void Deregister(const EndpointIncarnation& incarnation, base::TimePoint now);
 
-  /// Takes what a balancer remembers; only while nothing is known first hand.
-  /// @param sequence  of the announcement behind the memory
+  /// Restores the state that a balancer remembers. Ignored once the endpoint itself has been heard.
+  /// @param announcement  its sequence number is that of the announcement that the memory is based
+  ///                      on
   void Remember(const Announcement& announcement, EndpointStanding standing, base::TimePoint now);
 
-  /// Tells whether a health check is due: the endpoint isn't known, or doesn't answer. Notes it as
-  /// begun.
+  /// Returns whether a health check is due because the endpoint is unknown or doesn't answer, and
+  /// records its start.
   bool TakeProbe(base::TimePoint now);
   void NoteProbe(ProbeResult result, base::TimePoint now);
 
-  /// Notes that an opening packet went to the endpoint, and that the endpoint sent something.
+  /// Records that an opening packet was sent to the endpoint.
   void NoteOpening(base::TimePoint now);
-  /// @param holds_flow  whether the packet is of a flow that the endpoint holds: one that is about
-  ///                    to end gives back or resets what it gets, beside a closed port
+  /// Records that the endpoint sent a packet.
+  /// @param holds_flow  whether the packet belongs to a flow that the endpoint holds. An endpoint
+  ///                    that is about to end may bounce or reset packets while its port is already
+  ///                    closed.
   void NoteActivity(bool holds_flow, base::TimePoint now);
 
   EndpointStanding Standing(base::TimePoint now) const;
 
-  /// Returns whether the endpoint has said that it leaves, or nothing listened when it was asked
-  /// last and it hasn't been heard since.
+  /// Returns whether the endpoint has announced that it is leaving, or refused the last health
+  /// check and has not been heard since.
   bool HasEnded() const { return (m_is_known && m_is_leaving) || m_is_refused; }
 
-  /// Returns whether the endpoint is cold, or may be: nothing is known of it, it was away since it
-  /// was last heard, or another incarnation may have taken its place.
+  /// Returns whether the endpoint is or may be cold: it is unknown, it was unresponsive since it
+  /// was last heard, or another incarnation may have replaced it.
   bool MayBeCold(base::TimePoint now) const;
-  /// Tells whether others may take this gate's word: the endpoint said itself that it leaves, or
-  /// more than once that it is ready.
+  /// Returns whether balancers may rely on this state: the endpoint itself has announced that it is
+  /// leaving, or has announced more than once that it is ready.
   bool IsConfirmed() const { return m_is_first_hand && (m_is_repeated || m_is_leaving); }
   const Announcement& Newest() const { return m_current; }
 
-  /// Returns when the endpoint, or what is remembered of it, was last heard.
+  /// Returns when the endpoint was last heard, or when its state was restored from memory.
   base::TimePoint HeardAt() const { return m_heard_at; }
 
-  /// Returns how much longer the endpoint is slow from its start.
+  /// Returns the remaining warm-up time after the endpoint's start.
   base::Duration WarmUpLeft(base::TimePoint now) const;
 
  private:
@@ -130,21 +137,24 @@
   Announcement m_current;
   bool m_is_known = false;
   bool m_is_first_hand = false;
-  bool m_is_repeated = false;  // a later announcement has confirmed the first, which may be late
+  // A second announcement has confirmed the first, which may have been delayed.
+  bool m_is_repeated = false;
   bool m_is_leaving = false;
-  std::deque<EndpointIncarnation> m_ended;  // incarnations that are over, the last few
-  EndpointIncarnation m_predecessor;        // of the present one, until that is confirmed
-  EndpointIncarnation m_successor;          // heard, but doubted; empty without one
+  std::deque<EndpointIncarnation> m_ended;  // the most recent incarnations that have ended
+  EndpointIncarnation m_predecessor;  // of the current incarnation, until that one is confirmed
+  EndpointIncarnation m_successor;    // announced but not confirmed; empty if none
   std::uint64_t m_successor_sequence = 0;
-  base::TimePoint m_successor_at{};    // first heard, with no word of the present one since
-  base::TimePoint m_first_heard_at{};  // of the present one
+  // Time of the first announcement since the current incarnation was last heard.
+  base::TimePoint m_successor_at{};
+  base::TimePoint m_first_heard_at{};  // first announcement of the current incarnation
   base::TimePoint m_heard_at{};
   std::optional<base::TimePoint>
-      m_unanswered_since;  // the first opening with no sign of life since
+      m_unanswered_since;  // first opening not followed by any packet from the endpoint
   bool m_is_absent = false;
-  bool m_is_refused = false;  // by the last probe, and not heard since
-  bool m_was_away = false;    // it didn't answer since it was last heard, and does now
-  std::optional<base::TimePoint> m_healthy_at;  // by a probe, while nothing is known first hand
+  bool m_is_refused = false;  // the last health check was refused and the endpoint not heard since
+  bool m_was_away = false;    // it was unresponsive since it was last heard, and answers again
+  // Last passed health check, used until the endpoint itself is heard.
+  std::optional<base::TimePoint> m_healthy_at;
   std::optional<base::TimePoint> m_probed_at;
 };
 
--- a/libs/placement/include/gaugevalve/placement/endpoint_incarnation.h
+++ b/libs/placement/include/gaugevalve/placement/endpoint_incarnation.h
@@ -1,5 +1,5 @@
 /// @file
-/// One life of an endpoint, from its start to its end.
+/// Identity of one run of an endpoint process, from its start to its end.
 #pragma once
 
 #include <cstdint>
@@ -7,27 +7,27 @@
 
 namespace gaugevalve::placement {
 
-/// What tells one life of an endpoint from another: an endpoint that starts again may keep its
-/// identifier, and then holds and knows nothing of before.
+/// Distinguishes successive runs of an endpoint. A restarted endpoint may keep its identifier, but
+/// it has lost all flows and state of its previous run.
 struct EndpointIncarnation {
   std::string id;
-  /// When it started, by its machine's time of day: Unix milliseconds; 0 where it doesn't say. It
-  /// orders the lives at one address, unless the clock was set back between them.
+  /// Start time by the clock of its machine, in Unix milliseconds; 0 if not stated. It orders the
+  /// incarnations at one address, unless the clock was set back between them.
   std::uint64_t started_ms = 0;
 
   friend bool operator==(const EndpointIncarnation&, const EndpointIncarnation&) = default;
 
-  /// Returns whether nothing is known of any life.
+  /// Returns whether no incarnation is known.
   bool IsEmpty() const { return id.empty(); }
 
-  /// Returns whether this life started after `other` did, by what both say.
+  /// Returns whether this incarnation started after `other`; false if `other` states no start time.
   bool StartedAfter(const EndpointIncarnation& other) const {
     return other.started_ms != 0 && started_ms > other.started_ms;
   }
 };
 
-/// Returns what stands for an incarnation where a few bytes have to do. One that doesn't say when
-/// it started has the hash of its identifier.
+/// Returns a short hash that identifies an incarnation in compact formats. Without a start time it
+/// is the hash of the identifier alone.
 std::uint32_t EndpointHash(const EndpointIncarnation& incarnation);
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/held_addresses.h
+++ b/libs/placement/include/gaugevalve/placement/held_addresses.h
@@ -1,5 +1,5 @@
 /// @file
-/// The virtual addresses of the flows that an agent's endpoint holds.
+/// Virtual addresses of the flows that an agent's endpoint holds.
 #pragma once
 
 #include <cstddef>
@@ -11,39 +11,41 @@
 
 namespace gaugevalve::placement {
 
-/// What an agent says of the addresses whose flows its endpoint holds. A route may drop a service
-/// whose endpoints go on with the flows that they hold, and a balancer that starts afterwards knows
-/// present routes only: it asks these agents as well.
+/// Virtual addresses of the flows that an endpoint holds, as reported by its agent. A route may
+/// drop a service whose endpoints continue to serve their flows. A balancer that starts afterwards
+/// knows only current routes; with this list it also asks the agents of such services.
 struct HeldAddresses {
-  /// Each report carries the list, with 8 bytes an address. Endpoints stand behind one to three.
+  /// The list is part of each report, with 8 bytes for each address. Endpoints serve one to three
+  /// addresses.
   static constexpr std::size_t kMaxAddresses = 16;
 
-  std::vector<base::SocketAddress> addresses;  ///< sorted, each once
-  /// Whether the endpoint may hold flows of other addresses: its agent has started beside it and
-  /// doesn't know, or there are more than kMaxAddresses.
+  std::vector<base::SocketAddress> addresses;  ///< sorted, without duplicates
+  /// Whether the endpoint may hold flows of other addresses, either because its agent has started
+  /// later and doesn't know them, or because there are more than kMaxAddresses.
   bool may_be_more = false;
 
-  /// Returns whether flows of `address` are among those that are known.
+  /// Returns whether `address` is in the list.
   bool Has(const base::SocketAddress& address) const;
 
   friend bool operator==(const HeldAddresses&, const HeldAddresses&) = default;
 };
 
-/// An agent's account of HeldAddresses over time: what it sees itself, and, for as long as a flow
-/// may live, what its former life knew. Not thread-safe.
+/// Maintains HeldAddresses over time: the addresses that the agent sees and, for the maximum
+/// lifetime of a flow, those known to its previous incarnation. Not thread-safe.
 class HeldAddressTracker {
  public:
-  /// @param flow_lifetime  no flow is older
+  /// @param flow_lifetime  maximum age of a flow
   /// @param knows_all  whether the endpoint held no flow when the agent started
   HeldAddressTracker(base::Duration flow_lifetime, bool knows_all)
       : m_flow_lifetime(flow_lifetime), m_knows_all(knows_all) {}
 
-  /// Takes the addresses of all flows that the agent knows now, in any order. The first call counts
-  /// as the agent's start.
+  /// Sets the addresses of all flows that the agent knows, in any order. The first call marks the
+  /// agent's start.
   void Take(std::span<const base::SocketAddress> present, base::TimePoint now);
 
-  /// Takes what the agent's former life said last. What happened between that and its end isn't
-  /// known, so there may be more all the same.
+  /// Restores the addresses in the last report of the agent's previous incarnation. That
+  /// incarnation may have seen more addresses after this report, so the result may still be
+  /// incomplete.
   void Remember(const HeldAddresses& memory, base::TimePoint now);
 
   HeldAddresses Present(base::TimePoint now) const;
@@ -55,8 +57,8 @@
   bool m_knows_all;
   bool m_has_started = false;
   base::TimePoint m_started_at{};
-  std::vector<base::SocketAddress> m_present;     // sorted, each once
-  std::vector<base::SocketAddress> m_remembered;  // likewise
+  std::vector<base::SocketAddress> m_present;     // sorted, without duplicates
+  std::vector<base::SocketAddress> m_remembered;  // sorted, without duplicates
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/load_notice.h
+++ b/libs/placement/include/gaugevalve/placement/load_notice.h
@@ -1,5 +1,5 @@
 /// @file
-/// How busy an endpoint is, in a datagram of a fixed few bytes: an agent's answer to each opening.
+/// Compact datagram with the load of an endpoint, sent by its agent in answer to each opening.
 #pragma once
 
 #include <array>
@@ -12,31 +12,31 @@
 
 namespace gaugevalve::placement {
 
-/// The part of an agent's report that changes all the time. It speaks for a report of the same life
-/// that the receiver has; alone it says nothing.
+/// The frequently changing part of an agent's report. It updates a report of the same incarnation
+/// that the receiver already has, and has no meaning without one.
 struct LoadNotice {
   static constexpr std::size_t kSize = 30;       ///< bytes
-  static constexpr std::size_t kOlderSize = 22;  ///< of releases without `queued`
+  static constexpr std::size_t kOlderSize = 22;  ///< bytes; format of releases without `queued`
 
-  base::Incarnation life;      ///< of the agent; its lower 32 bits are sent
-  std::uint64_t sequence = 0;  ///< counts with the reports; its lower 32 bits are sent
+  base::Incarnation life;      ///< incarnation of the agent; the lower 32 bits are sent
+  std::uint64_t sequence = 0;  ///< shares the sequence of the reports; the lower 32 bits are sent
   std::uint32_t busy = 0;
-  PriorityCounts queued{};  ///< each up to 255
+  PriorityCounts queued{};  ///< each limited to 255
   double busy_average = 0;
   std::uint32_t open_flows = 0;
   base::Duration answer_time{0};
 
-  /// Tells whether the notice is of this report's life and newer than it.
+  /// Returns whether the notice belongs to the report's incarnation and is newer than the report.
   bool IsNewerThan(const AgentReport& report) const;
 };
 
-/// Returns the notice that says what the report says.
+/// Returns a notice with the load in the report.
 LoadNotice MakeLoadNotice(const AgentReport& report);
 
-/// Returns the whole datagram. What doesn't fit its field is sent as the largest that does.
+/// Returns the encoded datagram. Values too large for their field are sent as the field's maximum.
 std::array<std::uint8_t, LoadNotice::kSize> EncodeLoadNotice(const LoadNotice& notice);
 
-/// Returns the notice in a datagram, or nothing when it isn't one.
+/// Returns the decoded notice, or nothing if the datagram isn't a load notice.
 std::optional<LoadNotice> DecodeLoadNotice(std::span<const std::uint8_t> datagram);
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/request_class.h
+++ b/libs/placement/include/gaugevalve/placement/request_class.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a route says of its requests: how urgent they are, and until when an answer is of use.
+/// Priority and time limits that a route gives to its requests.
 #pragma once
 
 #include <array>
@@ -11,28 +11,30 @@
 
 namespace gaugevalve::placement {
 
-/// Priorities go from 0, the most urgent, to kPriorityCount - 1.
+/// Priorities range from 0, the most urgent, to kPriorityCount - 1.
 inline constexpr std::size_t kPriorityCount = 8;
-/// Of routes that don't say: in the middle, so that others can be put before and behind them.
+/// Priority of routes that don't set one. It is in the middle of the range, so that other routes
+/// can be given higher or lower priority.
 inline constexpr std::uint8_t kDefaultPriority = 4;
 
-/// Description of a route's requests. A plain value.
+/// Properties of a route's requests, as a plain value.
 struct RequestClass {
   std::uint8_t priority = kDefaultPriority;
-  base::Duration target_latency{0};  ///< an answer within it is in time; 0 when not given
-  base::Duration time_limit{0};      ///< the caller gives up after it; 0 when not given
+  base::Duration target_latency{0};  ///< target time to the answer; 0 if not set
+  base::Duration time_limit{0};      ///< time after which the caller gives up; 0 if not set
 
   friend bool operator==(const RequestClass&, const RequestClass&) = default;
 };
 
-/// The classes of one service by priority. Where routes of a priority differ, the shorter target
-/// and the longer time limit count: the first puts a request in order, the second drops it.
+/// The classes of one service by priority. If routes of the same priority differ, the shorter
+/// target latency and the longer time limit apply, because the target orders requests and the limit
+/// drops them.
 class RequestClassTable {
  public:
   RequestClassTable() = default;
   explicit RequestClassTable(std::span<const RequestClass> classes);
 
-  /// Returns the class of a priority; one without times where no route has it.
+  /// Returns the class of a priority; a class without times if no route has this priority.
   const RequestClass& Of(std::uint8_t priority) const { return m_classes[priority]; }
   bool IsEmpty() const { return m_is_empty; }
 
@@ -41,10 +43,10 @@
   bool m_is_empty = true;
 };
 
-/// A number of requests for each priority.
+/// Number of requests for each priority.
 using PriorityCounts = std::array<std::uint32_t, kPriorityCount>;
 
-/// Returns how many of the requests are less urgent than `priority`.
+/// Returns the number of requests that are less urgent than `priority`.
 std::uint32_t CountLessUrgent(const PriorityCounts& counts, std::uint8_t priority);
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/request_queue.h
+++ b/libs/placement/include/gaugevalve/placement/request_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// The order in which requests that wait before an endpoint are let through.
+/// Priority queue of requests that wait for a full endpoint.
 #pragma once
 
 #include <cstddef>
@@ -13,48 +13,51 @@
 
 namespace gaugevalve::placement {
 
-/// How fast an endpoint works.
+/// Service rate of an endpoint.
 struct EndpointServiceRate {
-  base::Duration answer_time{0};  ///< that a request usually takes once it is let through
-  std::uint32_t slots = 1;        ///< requests at a time
+  base::Duration answer_time{0};  ///< usual time from sending a request to its answer
+  std::uint32_t slots = 1;        ///< maximum number of concurrent requests
 };
 
-/// Requests on open flows that wait until their endpoint has room, at most one a flow. Answers the
-/// load at which all endpoints of a service are full, so that the order decides who is served in
-/// time: the more urgent first; within a priority those that can still be in time before those that
-/// can't. The oldest goes first, as it has the least time left, while all of them can be in time;
-/// when they can't, the newest: the oldest would be answered just too late, one after the other.
-/// One in kShare goes to the least urgent, so that nobody waits for good. Bounded; a full queue
-/// takes no more. Not thread-safe.
+/// Requests on open flows that wait until their endpoint has a free slot, at most one for each
+/// flow. The queue is meant for overload, when all endpoints of a service are full and the order
+/// determines which requests are answered in time. More urgent priorities go first. Within a
+/// priority, requests that can still meet their target go before those that can't. While all of
+/// them can meet it, the oldest goes first because it has the least time left. Otherwise the newest
+/// goes first, because in order of age each request would be answered just too late. One in kShare
+/// requests is taken from the least urgent priority, to prevent starvation. Bounded; a full queue
+/// accepts no more requests. Not thread-safe.
 class RequestQueue {
  public:
-  /// Requests at most: 300 KB where each is one full packet, of an agent's 64 MB. At two slots and
-  /// 30 ms a request this is four seconds' work, longer than callers wait.
+  /// Maximum number of requests. With one full packet each they take 300 KB, out of an agent's 64
+  /// MB. With two slots and 30 ms for each request they are four seconds of work, which is longer
+  /// than callers wait.
   static constexpr std::size_t kLimit = 256;
-  /// Every so many, one request is taken from the least urgent that wait.
+  /// One in this many requests is taken from the least urgent priority in the queue.
   static constexpr unsigned kShare = 8;
 
-  /// Sets what the priorities mean.
+  /// Sets the request classes of the priorities.
   void SetClasses(const RequestClassTable& classes) { m_classes = classes; }
   const RequestClassTable& Classes() const { return m_classes; }
 
-  /// Where the queue is full, a request that is less urgent gives its place up.
-  /// @return  who doesn't wait: nobody, the flow itself, or the one that gave its place up. A flow
-  ///          that waits already isn't added again
+  /// Adds a request. If the queue is full, it replaces a less urgent request.
+  /// @return  the flow that is left without a place: nothing, `flow` itself, or the flow that was
+  ///          replaced. A flow that is already queued isn't added again
   std::optional<FlowKey> Add(const FlowKey& flow, std::uint8_t priority, base::TimePoint now);
 
   bool Has(const FlowKey& flow) const;
 
-  /// Takes a flow out. @return  whether it waited
+  /// Removes a flow.
+  /// @return  whether it was queued
   bool Remove(const FlowKey& flow);
 
-  /// Takes the next one.
+  /// Removes and returns the next flow.
   std::optional<FlowKey> TakeNext(const EndpointServiceRate& pace, base::TimePoint now);
 
-  /// Takes those whose callers have given up.
+  /// Removes and returns the flows whose callers' time limits have passed.
   std::vector<FlowKey> TakeExpired(base::TimePoint now);
 
-  /// Takes all, in the order in which they came.
+  /// Removes and returns all flows, in order of arrival.
   std::vector<FlowKey> TakeAll();
 
   const PriorityCounts& Counts() const { return m_counts; }
@@ -74,7 +77,7 @@
   FlowKey TakeAt(std::size_t index);
 
   RequestClassTable m_classes;
-  std::vector<Waiting> m_waiting;  // in the order in which they came
+  std::vector<Waiting> m_waiting;  // in order of arrival
   PriorityCounts m_counts{};
   unsigned m_taken = 0;
 };
--- a/libs/placement/include/gaugevalve/placement/stored_listing.h
+++ b/libs/placement/include/gaugevalve/placement/stored_listing.h
@@ -1,5 +1,5 @@
 /// @file
-/// Whether the listing of agents in a store is up to date.
+/// Whether the listing of agents in the store is up to date.
 #pragma once
 
 #include <concepts>
@@ -11,24 +11,25 @@
 
 namespace gaugevalve::placement {
 
-/// Decision core of the balancer that keeps the listing for balancers that will know no agent. Each
-/// agent that the listing names and that has gone is asked in vain by all of them, and until they
-/// give it up they reset no flow that nobody holds. Not thread-safe.
+/// Decision core of the balancer that maintains the stored listing, which is read by balancers that
+/// start without knowing any agent. Each listed agent that has gone costs every such balancer
+/// unanswered queries, and until the balancer has given up the agent it resets no flow without a
+/// holder. Not thread-safe.
 class StoredListing {
  public:
-  /// Agents that a listing names at most: 4 KB. Each of them knows others.
+  /// Maximum number of listed agents, 4 KB in total. Each listed agent knows other agents.
   static constexpr std::size_t kMaxAgents = 256;
 
-  /// Notes that the store has taken the listing.
+  /// Records that the store has accepted the listing.
   void NoteStored(const AgentListing& listing);
 
-  /// Notes that the store hasn't taken a listing, as far as is known: it is to be written again.
+  /// Records that the store is not known to have accepted a listing, so that it is written again.
   void NoteNotStored();
 
-  /// Returns whether the listing is to be written anew: it names an agent that has gone, or leaves
-  /// out one although there is room, or its number of agents is off by more than one in twenty.
-  /// @param agent_count  present agents
-  /// @param is_gone  tells of an agent's address whether the agent has gone
+  /// Returns whether the listing has to be rewritten: it contains an agent that has gone, omits an
+  /// agent although there is room, or its number of agents is off by more than one in twenty.
+  /// @param agent_count  number of present agents
+  /// @param is_gone  returns whether the agent at an address has gone
   template <std::predicate<const base::SocketAddress&> Condition>
   bool IsOutdated(std::size_t agent_count, Condition is_gone) const {
     if (IsNumberOutdated(agent_count)) {
@@ -46,7 +47,7 @@
   bool IsNumberOutdated(std::size_t agent_count) const;
 
   std::vector<base::SocketAddress> m_named;
-  std::size_t m_agent_count = 0;  // 0: nothing is stored
+  std::size_t m_agent_count = 0;  // 0 if nothing is stored
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/warm_up_limiter.h
+++ b/libs/placement/include/gaugevalve/placement/warm_up_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many new flows an endpoint may get while it is cold.
+/// Limit of new flows for a cold endpoint.
 #pragma once
 
 #include <cstddef>
@@ -10,41 +10,41 @@
 
 namespace gaugevalve::placement {
 
-/// What a service's configuration says of its endpoints' warm-up.
+/// Warm-up settings of a service's endpoints, from the configuration.
 struct WarmUpRate {
-  double openings_per_second = 0;  ///< that a cold endpoint bears; 0 for no bound
+  double openings_per_second = 0;  ///< rate that a cold endpoint can serve; 0 for no bound
   base::Duration duration{0};      ///< of the warm-up, from a start or the end of an evacuation
 
   friend bool operator==(const WarmUpRate&, const WarmUpRate&) = default;
 };
 
-/// What operators tolerate above that rate.
+/// How far openings may exceed the configured rate.
 struct WarmUpTolerance {
   double overshoot = 1;  ///< factor of the rate
-  double slack = 0;      ///< openings within a second, on top
+  double slack = 0;      ///< additional openings within a second
 };
 
-/// Decision core: counts the openings that one endpoint was given, exactly, over each span of a
-/// second wherever it lies. The agent beside an endpoint is the only way to it, so the bound holds
-/// whatever balancers believe. A restarted agent doesn't know what it passed on before: its first
-/// second counts as used up. Not thread-safe.
+/// Decision core: counts the openings sent to one endpoint in a sliding window of one second. All
+/// flows reach the endpoint through its agent, so the bound holds whatever state balancers have. A
+/// restarted agent doesn't know what its previous incarnation sent, so its first second counts as
+/// used up. Not thread-safe.
 class WarmUpLimiter {
  public:
-  /// @param tolerance  nothing where the operators set no bound
+  /// @param tolerance  empty if the operators set no bound
   explicit WarmUpLimiter(std::optional<WarmUpTolerance> tolerance) : m_tolerance(tolerance) {}
 
-  /// Sets what the configuration says. Until then only the tolerance's slack is used.
+  /// Sets the configured rate. Until the first call the limit is the tolerance's slack alone.
   void SetRate(const WarmUpRate& rate) { m_rate = rate; }
   const std::optional<WarmUpRate>& Rate() const { return m_rate; }
 
-  /// Notes that the process runs: a second from the first call on, no opening of a former life of
-  /// it can count any more.
+  /// Records that the process is running. One second after the first call, openings sent by a
+  /// previous incarnation of the agent no longer count.
   void Begin(base::TimePoint now) { m_begun_at = m_begun_at.value_or(now); }
 
   /// Returns whether a cold endpoint may be given one more opening now.
   bool HasRoom(base::TimePoint now);
 
-  /// Counts an opening that is passed to the endpoint, cold or not.
+  /// Counts an opening that is sent to the endpoint, cold or not.
   void Note(base::TimePoint now);
 
  private:
@@ -54,7 +54,7 @@
   std::optional<WarmUpTolerance> m_tolerance;
   std::optional<WarmUpRate> m_rate;
   std::optional<base::TimePoint> m_begun_at;
-  std::deque<base::TimePoint> m_openings;  // of the last second; bounded by kMostOpenings
+  std::deque<base::TimePoint> m_openings;  // in the last second; at most kMostOpenings
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/agent_core.cpp
+++ b/libs/placement/src/agent_core.cpp
@@ -8,21 +8,22 @@
 namespace gaugevalve::placement {
 namespace {
 
-// A request without an answer for this long no longer counts: the client has given up, or a packet
-// was misread.
+// A request without an answer for this long no longer counts: either the client has given up, or
+// the agent has misinterpreted a packet.
 constexpr base::Duration kWaitingLimit = std::chrono::seconds(6);
 constexpr base::Duration kIdleLimit = std::chrono::seconds(60);
-// A flow both of whose ends have closed is kept for late packets.
+// A flow closed by both ends is kept for late packets.
 constexpr base::Duration kClosedLimit = std::chrono::seconds(2);
 constexpr base::Duration kSweepPeriod = std::chrono::milliseconds(250);
 // Weights of the newest value in the moving averages.
-constexpr double kBusyWeight = 0.06;  // a time constant of 0.8 s at kTickPeriod
+constexpr double kBusyWeight = 0.06;  // time constant of 0.8 s at kTickPeriod
 constexpr int kAnswerTimeDivisor = 10;
-// An endpoint whose slots were in use for more than this part of the last second is loaded. One
-// that resets flows at once is idle; under ordinary load agents' counters had busy_average at 0.37
-// to 0.78 for two slots, a part of 0.18 to 0.39. The limit itself was chosen, not measured.
+// An endpoint is loaded if more than this fraction of its slots was in use over the last second.
+// The limit separates it from an endpoint that is idle because it resets flows at once. Under
+// ordinary load, agents reported a busy_average of 0.37 to 0.78 for two slots, which is a fraction
+// of 0.18 to 0.39.
 constexpr double kLoadedPart = 0.75;
-// A mark: the balancer's index in the upper bits, the attempt in the lower ones.
+// A mark holds the balancer's index in the upper bits and the attempt in the lower ones.
 constexpr unsigned kAttemptBits = 8;
 constexpr std::uint32_t kAttemptMask = (1U << kAttemptBits) - 1;
 
@@ -90,7 +91,7 @@
   if (!is_known && MayBeCold(now) && !m_warm_up.HasRoom(now)) {
     return Return(header, balancer, ReturnReason::kWarmingUp);
   }
-  // A flow that has nowhere else to go is a trial as well: there may be no other.
+  // A flow that must be accepted also counts as a trial, because there may be no other flow.
   const bool is_admitted = is_known || OutlierDetection().TakeAdmission(now);
   if (!is_admitted && !header.must_accept) {
     return Return(header, balancer, ReturnReason::kNotAdmitting);
@@ -126,7 +127,8 @@
     return decision;
   }
   FlowRecord& record = found->second;
-  // A flow is held by the endpoint that goes on with it, not by one that answers an opening.
+  // Only a packet of an established flow shows that the endpoint holds it; the answer to an opening
+  // doesn't.
   if (!packet.is_synchronizing && record.searching_balancer) {
     decision.searching_balancer = std::exchange(record.searching_balancer, std::nullopt);
   }
@@ -142,7 +144,7 @@
   const std::size_t index = mark >> kAttemptBits;
   if (index >= m_balancers.size()) {
     Forget(packet.flow);
-    return {};  // not marked in this life of the process
+    return {};  // not marked by this incarnation of the agent
   }
   ForwardHeader header;
   header.service = m_settings.service;
@@ -153,7 +155,8 @@
     Forget(packet.flow);
     return Return(header, m_balancers[index], ReturnReason::kNotHeld);
   }
-  // The flow's other packets under way need the route as well: the record is kept for a while.
+  // Other packets of the flow that are still in flight need the route as well, so the record is
+  // kept for a while.
   FlowRecord& record = found->second;
   SetState(record, FlowState::kIdle, now);
   record.is_not_held = true;
@@ -198,7 +201,7 @@
   auto found = std::find(m_balancers.begin(), m_balancers.end(), balancer);
   if (found == m_balancers.end()) {
     if (m_balancers.size() >= m_settings.balancer_limit) {
-      m_balancers.clear();  // packets on their way to the endpoint lose their way back
+      m_balancers.clear();  // packets on their way to the endpoint can no longer be returned
     }
     m_balancers.push_back(balancer);
     found = m_balancers.end() - 1;
@@ -242,9 +245,9 @@
   return m_outcomes;
 }
 
-// A reset in place of an answer is a failure, unless an end had closed the flow, or the endpoint
-// has more work than it can do: it is passed over for its load then, and ejecting it would add to
-// that of the others.
+// A reset in place of an answer is a failure, unless one of the ends had closed the flow or the
+// endpoint is overloaded. An overloaded endpoint already gets fewer flows because of its load, and
+// its ejection would increase the load of the others.
 void AgentCore::NoteOutcome(const FlowRecord& record, const FlowPacket& packet,
                             base::TimePoint now) {
   const bool is_closed = record.client_closed || record.endpoint_closed;
@@ -272,7 +275,8 @@
   if (record.state != FlowState::kWaiting || !is_answer) {
     return;
   }
-  // The endpoint's own work: where more requests than slots are there, the rest was waiting.
+  // Estimates the endpoint's processing time: with more requests than slots, part of the time was
+  // spent waiting for a slot.
   const std::uint32_t capacity = std::max(1U, m_gate.Newest().capacity);
   const base::Duration taken = (now - record.since) * capacity / std::max(capacity, m_waiting);
   m_answer_time = m_answer_time.count() == 0
@@ -312,7 +316,7 @@
   return has_changed;
 }
 
-// Endpoints may turn cold during an evacuation, shortly before its end, and say so only later.
+// An endpoint may turn cold shortly before the end of an evacuation and announce this only later.
 bool AgentCore::MayBeCold(base::TimePoint now) const {
   const base::Duration duration = m_warm_up.Rate() ? m_warm_up.Rate()->duration : base::Duration(0);
   const bool was_just_taken_back = m_taken_back_at && now - *m_taken_back_at <= duration;
@@ -324,7 +328,7 @@
   if (!m_is_stopping) {
     return standing;
   }
-  // The agent of an endpoint that has ended ends for good: nothing is held here.
+  // If the endpoint has ended, its agent ends for good and no flow is held here.
   return m_gate.HasEnded() ? EndpointStanding::kAbsent : EndpointStanding::kStopping;
 }
 
--- a/libs/placement/src/agent_directory.cpp
+++ b/libs/placement/src/agent_directory.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-// How much of the share of openings is forgotten with each report of the agent.
+// Factor by which the share of openings decays with each report of the agent.
 constexpr double kShareKept = 0.9;
-// An agent that is used reports within 250 ms; one report may be lost.
+// An agent in use reports within 250 ms; this limit allows one report to be lost.
 constexpr base::Duration kAnswerLimit = std::chrono::milliseconds(500);
 
 void Adopt(KnownAgent& agent, const AgentReport& report, base::TimePoint now) {
@@ -30,7 +30,7 @@
   }
   agent.zone = ZoneHash(report.zone);
   agent.report = report;
-  agent.report.fellows.clear();  // they are listed on their own
+  agent.report.fellows.clear();  // they are added to the directory separately
   agent.heard_at = now;
   agent.reported_at = now;
   agent.is_only_listed = false;
@@ -119,7 +119,7 @@
 }
 
 base::Duration AgentDirectory::SilenceLimit(const KnownAgent& agent, base::Duration least) {
-  constexpr int kPeriods = 3;  // two reports may be lost
+  constexpr int kPeriods = 3;  // tolerates the loss of two reports
   return std::max(least, agent.report.period * kPeriods);
 }
 
--- a/libs/placement/src/agent_discovery.cpp
+++ b/libs/placement/src/agent_discovery.cpp
@@ -5,13 +5,16 @@
 namespace gaugevalve::placement {
 namespace {
 
-// A named agent is given up after 1.25 s. A client's flow whose endpoint has gone waits for that.
+// With this number of queries a named agent is given up after 1.25 s. A client whose flow's
+// endpoint has gone waits that long for a reset.
 constexpr unsigned kMostQuestions = 5;
-// With this part of the agents heard, a flow that none of them holds has most likely ended: after a
-// total stop some agents don't come back, and each client whose flow has gone waits for a reset.
+// If this percentage of agents has been heard, a flow held by none of them has most likely ended.
+// After a full restart some agents don't come back, and each client whose flow has gone waits for a
+// reset.
 constexpr std::size_t kEnoughPercent = 95;
 constexpr std::size_t kPercent = 100;
-// Agents that are asked for the others they know, whoever else answers; more only while some miss.
+// Number of agents that are always asked for their lists of other agents. More are asked only while
+// agents are missing.
 constexpr std::size_t kFellowsAskedFirst = 4;
 
 }  // namespace
--- a/libs/placement/src/agent_endpoint_incarnation.cpp
+++ b/libs/placement/src/agent_endpoint_incarnation.cpp
@@ -1,12 +1,13 @@
-// AgentCore's part that takes the endpoint's word on itself, and ends the flows of a life that is
-// over.
+// The part of AgentCore that processes the endpoint's announcements and ends the flows of previous
+// incarnations.
 #include <algorithm>
 
 #include "gaugevalve/placement/agent_core.h"
 
 namespace gaugevalve::placement {
 
-// The flows that `is_over` holds for are dead, where they are open and their clients can be told.
+// Removes the open flows for which `is_over` returns true and adds them to m_dead. Flows whose
+// client's acknowledgement number is unknown are kept, because no reset can be sent for them.
 template <std::predicate<const AgentCore::FlowRecord&> Condition>
 std::size_t AgentCore::EndFlows(Condition is_over, base::TimePoint now) {
   std::size_t count = 0;
@@ -27,7 +28,7 @@
 }
 
 std::size_t AgentCore::NoteEndpointGone(base::TimePoint now) {
-  // A flow that is just being opened may be one of the endpoint's successor.
+  // A flow with recent packets may be an opening meant for the endpoint's successor.
   return EndFlows(
       [now](const FlowRecord& record) { return now - record.last_packet > kOpeningTime; }, now);
 }
@@ -49,9 +50,9 @@
   return news;
 }
 
-// When the endpoint started, by this machine's clock, which is also the endpoint's. The time of day
-// may have been set meanwhile: a start outside of what is possible says nothing, and then only what
-// the former life had been heard after counts.
+// Returns when the endpoint started, on the clock that this machine shares with it. The time of day
+// may have been set since then, so an impossible start time is ignored; the time at which the
+// previous incarnation was last heard is then used.
 base::TimePoint AgentCore::StartOf(const EndpointIncarnation& incarnation, std::uint64_t unix_ms,
                                    base::TimePoint last_heard, base::TimePoint now) {
   const bool is_past = incarnation.started_ms <= unix_ms;
--- a/libs/placement/src/agent_queries.cpp
+++ b/libs/placement/src/agent_queries.cpp
@@ -3,13 +3,15 @@
 namespace gaugevalve::placement {
 namespace {
 
-// Agents that are remembered until they are heard; the directory's limit.
+// Maximum number of agents that are queried at a time; the same as the directory's limit.
 constexpr std::size_t kQuestionLimit = 8'192;
-// Answers come within some milliseconds; an agent of 0.15 of a core that has a backlog takes some
-// tens. Chosen between that and the 200 ms after which clients send again; no other was measured.
+// Answers usually arrive within some milliseconds, and within some tens from an agent with a
+// backlog that has 0.15 of a core. The time-out lies between that and the 200 ms after which
+// clients retransmit.
 constexpr base::Duration kAnswerTime = std::chrono::milliseconds(100);
-// Between two questions to an agent that was given up. Its own round of reports may be 16 s long,
-// and a flow that it holds must not be taken for lost for so long after a cut has healed.
+// Interval between queries to an agent that was given up. The agent's own reports may be 16 s
+// apart, and the flows that it holds must not count as lost for that long after a partition has
+// healed.
 constexpr base::Duration kGivenUpPause = std::chrono::seconds(1);
 
 }  // namespace
--- a/libs/placement/src/agent_reporter.cpp
+++ b/libs/placement/src/agent_reporter.cpp
@@ -5,10 +5,10 @@
 
 constexpr base::Duration kAliveFor = std::chrono::milliseconds(4000);
 constexpr base::Duration kForgetAfter = std::chrono::seconds(60);
-// Seeds are written to as well until this many others are alive.
+// Reports also go to seeds until this many other balancers are alive.
 constexpr std::size_t kEnoughBalancers = 8;
-// Balancers greet an agent twice a second. After this silence all that it knows have gone, but for
-// one case in a hundred; others may have taken their place at other addresses.
+// Balancers greet an agent twice a second. After this long without a greeting, all known balancers
+// have gone, except in one case in a hundred. Other balancers may have started at other addresses.
 constexpr base::Duration kGreetingSilence = std::chrono::milliseconds(2500);
 
 }  // namespace
@@ -43,7 +43,7 @@
   if (!is_new && !greeting.wants_answer) {
     return reports;
   }
-  // Balancers that start together ask at the same moment.
+  // Balancers that start together greet at the same moment, so answers are rate-limited.
   if (!m_core.Reports().TakeAnswer(now)) {
     ++m_answers_left_out;
     return reports;
--- a/libs/placement/src/agent_requests.cpp
+++ b/libs/placement/src/agent_requests.cpp
@@ -1,4 +1,4 @@
-// AgentCore's part that decides when requests on open flows reach the endpoint.
+// The part of AgentCore that decides when requests on open flows are sent to the endpoint.
 #include <algorithm>
 #include <utility>
 
@@ -7,25 +7,26 @@
 namespace gaugevalve::placement {
 namespace {
 
-// Requests at the endpoint beyond its slots, which it serves in the order in which they came: one,
-// which it begins with while the agent learns of the answer before it. Whoever is more urgent waits
-// for no more than that.
+// Number of requests sent to the endpoint beyond its slots. The endpoint serves requests in order
+// of arrival, and starts this one while the agent is still receiving the previous answer. A more
+// urgent request is delayed by no more than this one.
 constexpr std::uint32_t kAhead = 1;
-// A request that is given no answer for so many times the usual time, or for this long, doesn't
-// occupy a slot as far as others are concerned: the endpoint may have dropped it, or hang on it.
+// A request that has waited for its answer for this multiple of the usual time, and at least this
+// long, no longer counts as occupying a slot: the endpoint may have dropped it or be stuck in it.
 constexpr int kStuckFactor = 10;
 constexpr base::Duration kStuckTime = std::chrono::milliseconds(500);
-// A request with more data than this is still on its way for most of the time until its answer.
+// Transfer of a request with more data than this takes most of the time until its answer.
 constexpr std::uint32_t kLargeRequest = 4'800;  // bytes: four full packets
 
 }  // namespace
 
-// Whether the packet begins a request that the endpoint has no room for, or belongs to one that
-// waits.
+// Returns whether the packet begins a request for which the endpoint has no free slot, or belongs
+// to a request that is already queued.
 bool AgentCore::MustWait(const FlowRecord& record, const FlowPacket& packet,
                          const ForwardHeader& header) const {
   const bool is_on = m_settings.queues_requests && !m_queue.Classes().IsEmpty();
-  // A packet that looks for its flow's holder tells its balancer nothing while it waits.
+  // A packet that searches for its flow's holder must not wait, because its balancer gets no result
+  // meanwhile.
   if (!is_on || packet.data_size == 0 || packet.is_reset || header.has_route) {
     return false;
   }
@@ -39,8 +40,8 @@
   return begins && is_open && !m_is_stopping && !HasRoom();
 }
 
-// Where the queue is full of requests that are as urgent, the packet is dropped: its sender sends
-// it again. The endpoint could only put it before those that wait.
+// If the queue is full of requests that are at least as urgent, the packet is dropped and the
+// client retransmits it. The endpoint could only serve it ahead of the queued requests.
 AgentDecision AgentCore::Enqueue(FlowRecord& record, const FlowPacket& packet,
                                  const ForwardHeader& header, const base::SocketAddress& balancer,
                                  base::TimePoint now) {
@@ -71,17 +72,17 @@
   return decision;
 }
 
-// Requests that occupy the endpoint's slots and queue.
+// Returns the number of requests that occupy the endpoint's slots and queue.
 std::uint32_t AgentCore::AtEndpoint() const {
   const std::uint32_t aside = m_large + m_stuck;
   return m_waiting > aside ? m_waiting - aside : 0;
 }
 
-// Whether the endpoint may be given one more request.
+// Returns whether the endpoint may be sent one more request.
 bool AgentCore::HasRoom() const { return AtEndpoint() < Slots() + kAhead; }
 
-// Where the endpoint isn't the one that holds the flows any more, or the agent ends, what waits is
-// passed on as if it hadn't waited.
+// Returns whether all queued requests are to be sent on without further delay, because the
+// endpoint's incarnation has changed, the endpoint is absent, or the agent is stopping.
 bool AgentCore::PassesAll(base::TimePoint now) const {
   return m_is_stopping || m_queued_for != m_gate.Newest().incarnation ||
          m_gate.Standing(now) == EndpointStanding::kAbsent;
@@ -126,8 +127,8 @@
   SetState(record, FlowState::kWaiting, now);
 }
 
-// The request's packets are dropped. If its caller still wants the answer it sends them again, and
-// they are as new.
+// Drops the queued request. If the caller still needs the answer it retransmits the packets, which
+// are then treated as a new request.
 void AgentCore::Abandon(const FlowKey& flow, base::TimePoint now) {
   const auto found = m_flows.find(flow);
   if (found != m_flows.end()) {
@@ -135,7 +136,7 @@
   }
 }
 
-// How many requests a new one of this priority would find before it.
+// Returns how many requests would be served before a new one of this priority.
 std::uint32_t AgentCore::BusyFor(std::uint8_t priority) const {
   return Busy() - std::min(Busy(), CountLessUrgent(m_queue.Counts(), priority));
 }
--- a/libs/placement/src/endpoint_chooser.cpp
+++ b/libs/placement/src/endpoint_chooser.cpp
@@ -6,17 +6,21 @@
 namespace gaugevalve::placement {
 namespace {
 
-// Part of the present number of requests in the load; the rest is their average.
+// Weight of the current number of requests in the load. The average number has the remaining
+// weight.
 constexpr double kPresentPart = 0.5;
-// An open flow without a request weighs this much of a request: it may bring one at any time.
+// Weight of an open flow without a request, relative to a request, because it may send one at any
+// time.
 constexpr double kIdleFlowWeight = 0.05;
-// A cold endpoint counts as this much more loaded.
+// Factor on the load of a cold endpoint.
 constexpr double kColdFactor = 1.6;
-// An endpoint's answers count as slow from this multiple of the service's usual time.
+// An endpoint counts as slow if its answers take at least this multiple of the service's typical
+// time.
 constexpr double kSlowFrom = 1.3;
-// Small preference against endpoints that this balancer has used more than others lately.
+// Weight of this balancer's recent openings, for a small preference for endpoints that it has used
+// less.
 constexpr double kShareWeight = 0.02;
-// A candidate of another zone must be better by this much of its capacity.
+// Advantage of the balancer's own zone, relative to an endpoint's capacity.
 constexpr double kZoneMargin = 0.04;
 constexpr double kChanceMargin = 0.02;
 
--- a/libs/placement/src/endpoint_gate.cpp
+++ b/libs/placement/src/endpoint_gate.cpp
@@ -5,17 +5,18 @@
 namespace gaugevalve::placement {
 namespace {
 
-// An endpoint that leaves an opening packet without any sign of life for this long gets no more
-// until it speaks again. It is beside the agent and answers an opening within a millisecond, or
-// gives it back; clients send a copy after 200 ms, which then goes elsewhere. One packet is enough:
-// in a large fleet an agent sees one in two seconds, and each that is needed more costs a client
-// its time.
+// An endpoint that sends nothing for this long after an opening packet gets no more openings until
+// it sends something. The endpoint is on the same host and answers or bounces an opening within a
+// millisecond; clients retransmit after 200 ms, and the copy then goes to another endpoint. A
+// single unanswered packet is enough: in a large fleet an agent sees an opening every two seconds,
+// and each further packet would delay another client.
 constexpr base::Duration kUnansweredTime = std::chrono::milliseconds(150);
-// Announcements may be seconds late; an endpoint is given up after this many missed ones.
+// Announcements may be seconds late. After this many missed ones the endpoint counts as silent.
 constexpr int kMissedLimit = 6;
-// Incarnations that are over and are remembered. Each lives for some seconds at least.
+// Number of ended incarnations that are remembered. Each incarnation lives for at least some
+// seconds.
 constexpr std::size_t kEndedLimit = 16;
-// Between two health checks of an endpoint that isn't known.
+// Interval between health checks of an endpoint that is unknown or doesn't answer.
 constexpr base::Duration kProbePeriod = std::chrono::milliseconds(1000);
 
 }  // namespace
@@ -50,7 +51,8 @@
   }
 }
 
-// An older release remembers no start: it means the life that spoke last under the identifier.
+// State remembered by an older release has no start time and stands for the last known incarnation
+// with its identifier.
 bool EndpointGate::IsOver(const EndpointIncarnation& incarnation) const {
   return std::any_of(m_ended.begin(), m_ended.end(), [&](const EndpointIncarnation& ended) {
     return ended.id == incarnation.id &&
@@ -58,7 +60,7 @@
   });
 }
 
-// Whether a life that started later is known.
+// Returns whether an incarnation with a later start time is known.
 bool EndpointGate::IsEarlierLife(const EndpointIncarnation& incarnation) const {
   const auto is_later = [&](const EndpointIncarnation& known) {
     return known.StartedAfter(incarnation);
@@ -66,8 +68,8 @@
   return is_later(m_current.incarnation) || std::any_of(m_ended.begin(), m_ended.end(), is_later);
 }
 
-// Whether the incarnation is the one in place. Where either doesn't say when it started, as in what
-// was remembered by an older release, the identifier decides.
+// Returns whether this is the current incarnation. If one of the two has no start time, as in state
+// remembered by an older release, the identifier decides.
 bool EndpointGate::IsPresent(const EndpointIncarnation& incarnation) const {
   const EndpointIncarnation& present = m_current.incarnation;
   const bool has_same_start = incarnation.started_ms == present.started_ms ||
@@ -85,10 +87,11 @@
   }
 }
 
-// Longer than the present incarnation, if it lives, leaves between two announcements.
+// Longer than the interval between two announcements of a current incarnation that is alive.
 base::Duration EndpointGate::ConfirmationTime() const { return m_period * 5 / 4; }
 
-// Whether another incarnation takes the place of the present one. Notes it as heard otherwise.
+// Returns whether the announced incarnation replaces the current one. If not, records it as a
+// possible successor.
 bool EndpointGate::GivesWayTo(const Announcement& announcement, base::TimePoint now) {
   const EndpointIncarnation& other = announcement.incarnation;
   if (other.StartedAfter(m_current.incarnation)) {
@@ -97,7 +100,8 @@
   }
   const bool is_heard_again = m_successor == other && announcement.sequence > m_successor_sequence;
   if (announcement.is_draining) {
-    // Where it is believed wrongly, the next word of the present one opens the gate again.
+    // If this replacement is wrong, the next announcement of the current incarnation opens the gate
+    // again.
     return m_is_leaving || is_heard_again;
   }
   const bool may_have_gone = m_is_leaving || !m_is_repeated || m_is_absent || IsUnresponsive(now);
@@ -133,7 +137,7 @@
   const bool is_stranger = m_is_first_hand && !is_same;
   if (is_stranger && !GivesWayTo(announcement, now)) {
     if (announcement.is_draining) {
-      NoteEnded(announcement.incarnation);  // it says nothing about the one that is in place
+      NoteEnded(announcement.incarnation);  // it doesn't affect the current incarnation
     }
     return AnnouncementOutcome::kUnconfirmed;
   }
@@ -170,7 +174,7 @@
 
 void EndpointGate::Deregister(const EndpointIncarnation& incarnation, base::TimePoint now) {
   const bool is_present = IsPresent(incarnation);
-  // Without a start it is whichever is in place under its identifier.
+  // Without a start time it refers to the current incarnation with this identifier.
   const EndpointIncarnation& ended = is_present ? m_current.incarnation : incarnation;
   const bool may_be_present = !m_is_first_hand || is_present || ended == m_successor ||
                               ended.StartedAfter(m_current.incarnation);
--- a/libs/placement/src/load_notice.cpp
+++ b/libs/placement/src/load_notice.cpp
@@ -12,7 +12,8 @@
 using base::ReadNumber;
 using base::WriteNumber;
 
-// The kind and three bytes of 0, as a ForwardHeader's reader expects them; then the fields.
+// Offsets of the fields. The datagram begins with the message kind and three zero bytes, as
+// required by the reader of ForwardHeader.
 constexpr std::size_t kBusyOffset = 4;
 constexpr std::size_t kAverageOffset = 6;
 constexpr std::size_t kFlowsOffset = 8;
@@ -20,7 +21,7 @@
 constexpr std::size_t kSequenceOffset = 14;
 constexpr std::size_t kLifeOffset = 18;
 constexpr std::size_t kQueuedOffset = 22;
-constexpr double kAverageUnit = 16;  // parts of a request
+constexpr double kAverageUnit = 16;  // units per request
 
 template <class Number>
 std::uint16_t ToField(Number number) {
--- a/libs/placement/src/outlier_detector.cpp
+++ b/libs/placement/src/outlier_detector.cpp
@@ -6,23 +6,25 @@
 namespace gaugevalve::placement {
 namespace {
 
-// Failures in a row that eject: strong evidence, as a service that serves resets none.
+// Number of consecutive failures that eject an endpoint. A service that works resets no flow, so
+// few failures are strong evidence.
 constexpr unsigned kFailuresInRow = 3;
-// The last outcomes, and how many failures among them eject an endpoint that fails only a part: at
-// a part of 40 % after some 15 requests, at one of 5 % once in 10,000.
+// Number of outcomes in the window, and of failures among them that eject an endpoint that fails
+// only some requests. An endpoint that fails 40 % is ejected after some 15 requests, one that fails
+// 5 % once in 10,000 requests.
 constexpr unsigned kWindow = 8;
 constexpr int kFailuresInWindow = 4;
 constexpr std::uint32_t kWindowMask = (1U << kWindow) - 1;
 constexpr std::uint32_t kRowMask = (1U << kFailuresInRow) - 1;
-// Trials that have to pass in a row.
+// Consecutive successful trials required for readmission.
 constexpr unsigned kTrialsToPass = 3;
-// A trial without an outcome for so long is given up, and another one allowed.
+// A trial without an outcome for this long is abandoned, and another one is allowed.
 constexpr base::Duration kTrialLimit = std::chrono::seconds(2);
-// Before the first trial; doubled after each failed one and each relapse up to the longest. Faults
-// of endpoints last seconds.
+// Pause before the first trial, and its maximum. It doubles after each failed trial and each
+// relapse. Faults of endpoints last seconds.
 constexpr base::Duration kFirstPause = std::chrono::milliseconds(500);
 constexpr base::Duration kLongestPause = std::chrono::seconds(8);
-// An endpoint that has served this long since it came back has recovered.
+// An endpoint that has served for this long since its readmission has recovered.
 constexpr base::Duration kRecovered = std::chrono::seconds(30);
 
 }  // namespace
@@ -44,7 +46,7 @@
     return;
   }
   if (!m_trial_at) {
-    return;  // of a flow from before
+    return;  // the flow began before the ejection
   }
   m_trial_at.reset();
   ++m_trials_passed;
--- a/libs/placement/src/peer_agent_list.cpp
+++ b/libs/placement/src/peer_agent_list.cpp
@@ -5,9 +5,9 @@
 namespace gaugevalve::placement {
 namespace {
 
-// An agent that wasn't among so many that balancers named has gone: where there are as many agents
-// as the list holds, one in fifty is left out wrongly. In larger deployments it has been pushed out
-// before.
+// An agent that was not among this many named agents has gone. If the deployment has as many agents
+// as the list has entries, one in fifty is omitted wrongly. In larger deployments such an agent has
+// already been replaced in the list.
 constexpr std::uint64_t kForgetAfterNames = 256;
 
 }  // namespace
--- a/libs/placement/src/request_class.cpp
+++ b/libs/placement/src/request_class.cpp
@@ -6,7 +6,7 @@
 namespace gaugevalve::placement {
 namespace {
 
-// The shorter of two times, of which 0 is none.
+// Returns the shorter of two times, ignoring a time of 0, which means not set.
 base::Duration Shorter(base::Duration left, base::Duration right) {
   const bool has_both = left.count() > 0 && right.count() > 0;
   return has_both ? std::min(left, right) : std::max(left, right);
--- a/libs/placement/src/request_queue.cpp
+++ b/libs/placement/src/request_queue.cpp
@@ -5,7 +5,7 @@
 namespace gaugevalve::placement {
 namespace {
 
-// A request is taken to be in time if this many usual answer times are left.
+// A request is expected to meet its target if at least this many usual answer times are left.
 constexpr int kSpread = 2;
 
 }  // namespace
@@ -29,7 +29,8 @@
   return displaced;
 }
 
-// The oldest of the least urgent. There must be one.
+// Returns the index of the oldest request of the least urgent priority. The queue must not be
+// empty.
 std::size_t RequestQueue::LeastUrgent() const {
   const auto least = std::max_element(
       m_waiting.begin(), m_waiting.end(),
@@ -59,8 +60,9 @@
   return request.flow;
 }
 
-// Whether the request is answered in time if it is let through after `wait`, with as long again as
-// an answer usually takes for what isn't seen here: the spread of answer times and the ways.
+// Returns whether the request meets its target if its answer arrives after `wait`. The caller
+// doubles the usual answer time in `wait` to cover its spread and the network latency, which are
+// unknown here.
 bool RequestQueue::CanBeInTime(const Waiting& request, base::Duration wait,
                                base::TimePoint now) const {
   const base::Duration target = m_classes.Of(request.priority).target_latency;
--- a/libs/placement/src/stored_listing.cpp
+++ b/libs/placement/src/stored_listing.cpp
@@ -5,8 +5,8 @@
 namespace gaugevalve::placement {
 namespace {
 
-// A listing that names a part of the agents is renewed where their number changes by one in so
-// many.
+// A listing that contains only a part of the agents is rewritten when their number has changed by
+// more than one in this many.
 constexpr std::size_t kLargestChange = 20;
 
 }  // namespace
--- a/libs/placement/src/warm_up_limiter.cpp
+++ b/libs/placement/src/warm_up_limiter.cpp
@@ -5,11 +5,11 @@
 namespace gaugevalve::placement {
 namespace {
 
-// The span over which openings are counted, and what the way to the endpoint may differ by from one
-// packet to the next, over loopback on a busy machine.
+// Length of the counting window, and the variation of the delay to the endpoint from packet to
+// packet, over loopback on a busy machine.
 constexpr base::Duration kSpan = std::chrono::milliseconds(1000);
 constexpr base::Duration kJitter = std::chrono::milliseconds(50);
-// Openings remembered: more in a second than any cold endpoint is given.
+// Limit of the openings remembered. No cold endpoint is given as many in a second.
 constexpr std::size_t kMostOpenings = 4096;
 
 }  // namespace
--- a/libs/placement/tests/agent_core_test.cpp
+++ b/libs/placement/tests/agent_core_test.cpp
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT(Forward(Opening(Flow(3))).verdict == AgentVerdict::kDeliver);
   }
 
-  // The balancer's word of the queue is older than the agent's.
+  // The agent's own count is newer than the load known to the balancer.
   void AnOpeningThatWouldComeTooLateIsReturnedThoughItMustBeAccepted() {
     Announce();
     m_header.must_accept = true;
@@ -102,7 +102,8 @@
       CPPUNIT_ASSERT(Forward(Opening(Flow(port))).verdict == AgentVerdict::kDeliver);
     }
     ExpectReturn(ReturnReason::kBusy, Forward(Opening(Flow(5))));
-    CPPUNIT_ASSERT(Forward(Opening(Flow(4))).verdict == AgentVerdict::kDeliver);  // a copy
+    // A retransmission.
+    CPPUNIT_ASSERT(Forward(Opening(Flow(4))).verdict == AgentVerdict::kDeliver);
   }
 
   void CopiesOfAnOpeningAreDeliveredAlsoWhenFull() {
@@ -146,7 +147,7 @@
 
   void APacketOfASearchGoesOnToTheNextAgent() {
     StartSearch({Node(21), Node(22)});
-    // Both packets under way follow the route, not only the first that is bounced.
+    // All packets in flight follow the route, not only the first one that is bounced.
     for (const std::uint32_t sequence : {101, 111}) {
       const AgentDecision decision = Bounce(Forward(Data(Flow(1), sequence)));
       CPPUNIT_ASSERT(decision.verdict == AgentVerdict::kForwardToNextAgent);
@@ -191,7 +192,7 @@
     Announce();
     Forward(Data(Flow(1), 101));
     m_core.OnEndpointPacket(Answer(Flow(1)), 0, m_now);
-    Forward(Data(Flow(1), 101));  // the client missed the acknowledgement
+    Forward(Data(Flow(1), 101));  // retransmission after a lost acknowledgement
     CPPUNIT_ASSERT_EQUAL(0U, Busy());
     Forward(Data(Flow(1), 111));
     CPPUNIT_ASSERT_EQUAL(1U, Busy());
@@ -214,10 +215,11 @@
     CPPUNIT_ASSERT(m_core.Standing(m_now) == EndpointStanding::kAbsent);
   }
 
-  // Found in trouble-2 (docs/design/0018): its balancers waited for it as for one that restarts.
+  // Regression test (docs/design/0018): balancers waited for such an agent as for one that
+  // restarts.
   void AnAgentThatStopsBesideAnAbsentEndpointHoldsNothing() {
     m_core.Gate().NoteProbe(ProbeResult::kRefused, m_now);
-    // One that is about to end gives back what it gets, and resets flows that it has closed.
+    // An endpoint that is about to end bounces new packets and resets flows that it has closed.
     FlowPacket reset = Answer(Flow(1), 0);
     reset.is_reset = true;
     m_core.OnEndpointPacket(reset, 0, m_now);
@@ -235,7 +237,7 @@
     ExpectReturn(ReturnReason::kNotHeld, Forward(Opening(Flow(1))));
   }
 
-  // Whatever balancers insist on; copies of an opening count once.
+  // The limit also applies to openings that must be accepted. Retransmitted openings count once.
   void AColdEndpointGetsNoMoreThanItBears() {
     MakeBounded();
     m_core.Gate().Announce({{"a"}, false, 100, milliseconds(4000), 1}, m_now);
@@ -272,12 +274,13 @@
     CPPUNIT_ASSERT(m_core.MayBeCold(m_now + milliseconds(3000)));
     CPPUNIT_ASSERT(!m_core.MayBeCold(m_now + milliseconds(3001)));
     m_core.TakeEvacuated({3, {"west"}}, m_now + milliseconds(4000));
-    m_core.TakeEvacuated({4, {}}, m_now + milliseconds(4100));  // not its own zone
+    m_core.TakeEvacuated({4, {}}, m_now + milliseconds(4100));  // another zone
     CPPUNIT_ASSERT(!m_core.MayBeCold(m_now + milliseconds(4200)));
   }
 
  private:
-  // An agent that has run for a while, of a service whose cold endpoints bear 10 a second.
+  // The agent has been running for a while, and cold endpoints of its service may get 10 openings a
+  // second.
   void MakeBounded() {
     AgentCoreSettings settings;
     settings.service = orders_service;
--- a/libs/placement/tests/agent_discovery_test.cpp
+++ b/libs/placement/tests/agent_discovery_test.cpp
@@ -61,7 +61,7 @@
     for (int time = 50; time < 20'000; time += 50) {
       asked += static_cast<int>(m_discovery.TakeDueQueries(At(time)).size());
     }
-    // Five times within 1.25 s, then it is given up and asked once a second.
+    // Five queries within 1.25 s; then the agent is given up and queried once a second.
     CPPUNIT_ASSERT_EQUAL(5 + 19, asked);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_discovery.UnreachableCount());
   }
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{250}, m_discovery.TakeDueQueries(At(250)).size());
   }
 
-  // Whether it is named again or not: it may be back after a cut.
+  // It may be reachable again after a partition, whether or not it is named again.
   void AnAgentGivenUpIsAskedAgainLater() {
     m_discovery.TakeNamed(Node(2), At(0));
     for (int time = 0; time < 5'000; time += 50) {
@@ -97,11 +97,11 @@
   }
 
   void AllAreFoundOnceHeardOrGivenUp() {
-    CPPUNIT_ASSERT(!m_discovery.IsComplete(5));  // nobody has said how many there are
+    CPPUNIT_ASSERT(!m_discovery.IsComplete(5));  // the number of agents has not been stated
     m_discovery.NoteAgentCount(3);
     CPPUNIT_ASSERT(!m_discovery.IsComplete(2));
     m_discovery.TakeNamed(Node(2), At(0));
-    CPPUNIT_ASSERT(!m_discovery.IsComplete(3));  // one more has been named
+    CPPUNIT_ASSERT(!m_discovery.IsComplete(3));  // one more agent has been named
     for (int time = 0; time < 5'000; time += 50) {
       m_discovery.TakeDueQueries(At(time));
     }
@@ -114,7 +114,7 @@
     CPPUNIT_ASSERT(!m_discovery.IsComplete(189));
     CPPUNIT_ASSERT(m_discovery.IsComplete(190));
     for (std::uint32_t number = 2; number < 22; ++number) {
-      m_discovery.TakeNamed(Node(number), At(0));  // more than were said to be there
+      m_discovery.TakeNamed(Node(number), At(0));  // more than the stated number
     }
     CPPUNIT_ASSERT(!m_discovery.IsComplete(190));
   }
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(!m_discovery.TakePeerListQuery(10));
   }
 
-  // All balancers were lost together: an agent that outlived them says how many there are.
+  // After the loss of all balancers, an agent states the number of agents.
   void AFlowIsNotResetWhileAgentsAreMissing() {
     HearAgent(2, kAgents);
     for (const int time : {100, 800, 1'900}) {
@@ -143,8 +143,8 @@
     CPPUNIT_ASSERT(BalancerVerdict::kReset == VerdictOnUnknownFlow(800));
   }
 
-  // Found in trouble-2 (docs/design/0018): agents that lost their endpoints in a total stop were
-  // still counted by others, and all balancers waited two seconds for them.
+  // Regression test (docs/design/0018): agents that lost their endpoints in a full restart were
+  // still counted by other nodes, and all balancers waited two seconds for them.
   void AgentsWithoutEndpointsAreFoundAsWell() {
     HearAgent(2, 3);
     m_core->OnReport(Node(3), Report(1, 0, EndpointStanding::kAbsent), At(0));
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT(BalancerVerdict::kReset == VerdictOnUnknownFlow(2'100));
   }
 
-  // Agents that were named may have gone, as after a total stop that came amid replacements.
+  // Named agents may have gone, for example after a full restart during replacements.
   void NamedAgentsThatDoNotAnswerAreWaitedForForAShortTime() {
     HearAgent(2, 3);
     for (const std::uint32_t number : {3U, 4U}) {
@@ -224,7 +224,7 @@
                                               {Node(3), testing::orders_service},
                                               {Node(4), testing::drawings_service}};
     const std::vector<OutgoingGreeting> questions = m_gossip->OnFellows(fellows, At(10));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, questions.size());  // one has been heard
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, questions.size());  // the third agent has been heard
     for (const OutgoingGreeting& question : questions) {
       CPPUNIT_ASSERT(question.greeting.wants_answer);
     }
@@ -236,7 +236,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.size());
     CPPUNIT_ASSERT(questions.front().receiver == Node(2));
     CPPUNIT_ASSERT(questions.front().greeting.wants_fellows);
-    CPPUNIT_ASSERT(m_gossip->Tick(At(2'500)).empty());  // the others are given up
+    CPPUNIT_ASSERT(m_gossip->Tick(At(2'500)).empty());  // the remaining agents have been given up
   }
 
   void TheCountOfABalancerThatLearnsIsNotBelieved() {
@@ -258,7 +258,8 @@
     m_core->OnReport(Node(number), report, At(0));
   }
 
-  // The last verdict on a packet of an open flow that no agent heard so far holds.
+  // Returns the last verdict on a packet of an open flow that none of the agents heard so far
+  // holds.
   BalancerVerdict VerdictOnUnknownFlow(int time) {
     const FlowPacket packet = Data(Flow(77), 500);
     BalancerDecision decision = m_core->OnClientPacket(packet, At(time));
--- a/libs/placement/tests/agent_queries_test.cpp
+++ b/libs/placement/tests/agent_queries_test.cpp
@@ -1,4 +1,4 @@
-// Questions to silent agents, and what they change for a balancer's searches.
+// Tests of queries to silent agents, and of their effect on a balancer's searches.
 #include "gaugevalve/placement/agent_queries.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,7 +23,7 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr std::int64_t kLearned = 5000;          // ms; the balancer has learned of all agents
+constexpr std::int64_t kLearned = 5000;          // ms; the balancer has discovered all agents
 constexpr std::uint32_t kAgents = 30;            // Node(1) to Node(30)
 constexpr std::uint32_t kFirstDead = 21;         // Node(21) to Node(30) have lost power
 constexpr std::uint32_t kReportsSeldom = 4'000;  // ms
@@ -107,8 +107,8 @@
     CPPUNIT_ASSERT(!m_core->HasNewSuspects());
   }
 
-  // Found by an own day (docs/design/0018): agents report every four seconds, a zone loses power,
-  // and each search of a flow met one of its agents before the holder, for three seconds.
+  // Regression test (docs/design/0018): agents report every four seconds and a zone loses power.
+  // For three seconds each search for a flow reached a dead agent before the holder.
   void ASearchFindsItsHolderThoughAThirdOfTheAgentsDied() {
     for (std::uint16_t port = 1; port <= 50; ++port) {
       setUp();
@@ -133,14 +133,15 @@
     CPPUNIT_ASSERT_EQUAL(Node(7), Send(Data(Flow(1), 101)).agent);
   }
 
-  // An agent that said it stops is asked last, alone; without data there is no copy to notice.
+  // An agent that announced its stop is the last of a search and queried on its own. Packets
+  // without data are not retransmitted, so no retransmission can reveal the loss.
   void ASearchThatEndsAtOneAgentIsLostAsWell() {
     Hear(1);
     AgentReport farewell = Report(++m_sequence, 0, EndpointStanding::kStopping);
     m_core->OnReport(Node(kFirstDead), farewell, m_now);
     FlowPacket closing;
     BalancerDecision decision;
-    while (decision.agent != Node(1)) {  // each flow asks in its own order
+    while (decision.agent != Node(1)) {  // the order of agents depends on the flow
       closing = Data(Flow(++m_port), 101, 0);
       closing.is_closing = true;
       decision = Send(closing);
@@ -178,7 +179,8 @@
     CPPUNIT_ASSERT(!m_core->HasNewSuspects());
   }
 
-  // Its agent reports every four seconds and would be waited for for twelve otherwise.
+  // Its agent reports every four seconds; without the query it would count as gone only after
+  // twelve.
   void AFlowWhoseAgentAnswersNothingIsReset() {
     HearAll();
     m_core->OnHolding(Flow(1), Node(kFirstDead), orders_service, m_now);
@@ -208,12 +210,13 @@
     }
   }
 
-  // Found in trouble-2: after a total stop flows waited five seconds for two agents that never
-  // came.
+  // Regression test: after a full restart, flows waited five seconds for two agents that did not
+  // return.
   void AnAgentOnlyNamedThatAnswersNothingIsNoHolder() {
     Hear(1);
     m_core->NoteListed({Node(2), orders_service}, m_now);
-    CPPUNIT_ASSERT(VerdictOnUnknownFlow() == BalancerVerdict::kForward);  // it may hold it
+    // The agent may hold the flow.
+    CPPUNIT_ASSERT(VerdictOnUnknownFlow() == BalancerVerdict::kForward);
     for (int time = 0; time <= 1'250; time += 250) {
       m_core->Discovery().TakeDueQueries(m_now);
       Pass(250);
@@ -244,7 +247,7 @@
     Send(Data(Flow(1), 101));
     Pass(200);
     Send(Data(Flow(1), 101));
-    m_now += milliseconds(3'000);  // nothing ran
+    m_now += milliseconds(3'000);  // the process is suspended
     m_core->Tick(m_now);
     CPPUNIT_ASSERT(m_core->TakeSuspects(m_now).empty());
     CPPUNIT_ASSERT_EQUAL(Node(3), Send(Data(Flow(1), 101)).agent);
@@ -280,7 +283,7 @@
 
   BalancerDecision Send(const FlowPacket& packet) { return m_core->OnClientPacket(packet, m_now); }
 
-  // Whether a search's packet gets to Node(1), the holder, before an agent that is dead.
+  // Returns whether a search packet reaches Node(1), the holder, before a dead agent.
   static bool ReachesHolder(const BalancerDecision& decision) {
     std::vector<base::SocketAddress> way = {decision.agent};
     way.insert(way.end(), decision.route.begin(), decision.route.end());
@@ -297,7 +300,7 @@
     return false;
   }
 
-  // After Node(1) has returned a packet of a flow that isn't known.
+  // Returns the verdict on a packet of an unknown flow after Node(1) has returned one.
   BalancerVerdict VerdictOnUnknownFlow() {
     const FlowPacket packet = Data(Flow(++m_port), 101);
     return Return(packet, Send(packet)).verdict;
--- a/libs/placement/tests/agent_reporter_test.cpp
+++ b/libs/placement/tests/agent_reporter_test.cpp
@@ -87,7 +87,7 @@
     for (std::uint32_t balancer = 2; balancer < 93; ++balancer) {
       Greet(greeting, balancer, 0);
     }
-    // They are gone from now on; the agent goes on telling their addresses in turn.
+    // All balancers have gone; the agent still reports to their addresses in turn.
     std::size_t told = 0;
     for (int time = 8'000; time < 28'000; time += 50) {
       const OutgoingReport report = m_reporter.ReportInTurn(At(time));
--- a/libs/placement/tests/configuration_replica_test.cpp
+++ b/libs/placement/tests/configuration_replica_test.cpp
@@ -1,7 +1,8 @@
-// What callers saw: all balancers of a deployment lost power while the store was silent, and nobody
-// was served until the store came back, though agents and endpoints ran on. Balancers that start
-// know no configuration, and only balancers and the store could give them one: for two seconds each
-// packet_decided line said verdict=drop reason=no_routes. Agents hold replicas since.
+// Guards against an outage in which all balancers lost power while the store was unreachable.
+// Agents and endpoints kept running, but restarted balancers have no configuration and could get it
+// only from other balancers or the store. No request was served until the store came back; for two
+// seconds each packet_decided line said verdict=drop reason=no_routes. Agents hold replicas for
+// this case.
 #include "gaugevalve/placement/configuration_replica.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -62,7 +63,7 @@
   void OnlyANewerVersionIsWanted() {
     ConfigurationReplica replica{Node(1)};
     replica.NoteAgentCount(3);
-    CPPUNIT_ASSERT(!replica.IsWanted(0));  // a balancer without any
+    CPPUNIT_ASSERT(!replica.IsWanted(0));  // a balancer without a configuration
     replica.Hold(7);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, replica.Version());
     CPPUNIT_ASSERT(!replica.IsWanted(6));
@@ -92,7 +93,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, core.MakeReport(At(0)).routes_version);
   }
 
-  // An agent that was cut off offers what was in force then.
+  // An agent that was partitioned offers an older version.
   void TheNewestOfferIsTakenOnceOffersWereCompared() {
     ConfigurationOffers offers;
     offers.Note(Node(1), 5, 0, At(0));
@@ -117,7 +118,8 @@
     offers.Note(Node(1), 0, 0, At(0));
     CPPUNIT_ASSERT(!offers.TakeBest(0, At(1000)));
     offers.Note(Node(1), 5, 0, At(1000));
-    CPPUNIT_ASSERT(!offers.TakeBest(5, At(2000)));  // another agent, a peer or the store gave it
+    // Obtained meanwhile from another agent, a peer or the store.
+    CPPUNIT_ASSERT(!offers.TakeBest(5, At(2000)));
     offers.Note(Node(1), 5, 5, At(2000));
     CPPUNIT_ASSERT(!offers.TakeBest(5, At(3000)));
   }
--- a/libs/placement/tests/endpoint_gate_test.cpp
+++ b/libs/placement/tests/endpoint_gate_test.cpp
@@ -71,7 +71,7 @@
     m_gate.Announce(Ready("a", 5), At(0));
     m_gate.Deregister({"a"}, At(100));
     Expect(EndpointStanding::kLeaving, 100);
-    // Sent before the deregistration, but with a number that wasn't seen yet.
+    // Sent before the deregistration, with a sequence number not seen yet.
     m_gate.Announce(Ready("a", 6), At(900));
     Expect(EndpointStanding::kLeaving, 900);
   }
@@ -112,13 +112,14 @@
     Expect(EndpointStanding::kLeaving, 10);
   }
 
-  // Found by placement_proof: a restarted agent heard a late "ready" of an endpoint that had
-  // deregistered at the agent's former life.
+  // Regression test found by placement_proof: a restarted agent received a late announcement of an
+  // endpoint that had deregistered during the agent's previous incarnation.
   void ASingleAnnouncementIsBelievedForALimitedTime() {
     m_gate.Announce(Ready("a", 8), At(0));
     Expect(EndpointStanding::kAdmitting, 2000);
     Expect(EndpointStanding::kUnknown, 2001);
-    CPPUNIT_ASSERT(!m_gate.IsConfirmed());  // a balancer that remembers it would prolong its life
+    // Otherwise a balancer's memory would extend its validity.
+    CPPUNIT_ASSERT(!m_gate.IsConfirmed());
     m_gate.Announce(Ready("a", 9), At(2100));
     Expect(EndpointStanding::kAdmitting, 5000);
     CPPUNIT_ASSERT(m_gate.IsConfirmed());
@@ -142,14 +143,14 @@
     Expect(EndpointStanding::kAdmitting, 200);
   }
 
-  // In a large fleet openings come seconds apart, and each of them is a client's.
+  // In a large fleet openings are seconds apart, and each unanswered one delays a client.
   void OneUnansweredOpeningMakesItSilent() {
     m_gate.Announce(Ready("a", 1), At(0));
     m_gate.Announce(Ready("a", 2), At(0));
     m_gate.NoteOpening(At(1000));
     Expect(EndpointStanding::kAdmitting, 1150);
     Expect(EndpointStanding::kSilent, 1151);
-    CPPUNIT_ASSERT(m_gate.TakeProbe(At(1151)));  // a health check shows it well again, too
+    CPPUNIT_ASSERT(m_gate.TakeProbe(At(1151)));  // a passed health check ends the silence as well
     m_gate.NoteProbe(ProbeResult::kHealthy, At(1160));
     Expect(EndpointStanding::kAdmitting, 1160);
   }
@@ -178,7 +179,8 @@
     CPPUNIT_ASSERT(!m_gate.TakeProbe(At(5000)));
   }
 
-  // Its heartbeat was delayed by a cut; another incarnation stands at the address since.
+  // Its announcement was delayed by a partition; another incarnation has started at the address
+  // since.
   void ALateWordOfACrashedIncarnationIsNotBelieved() {
     HearTwice("b", 0);
     for (const std::uint64_t sequence : {1U, 50U}) {
@@ -203,7 +205,7 @@
       m_gate.Announce(Ready("a", sequence), At(100));
     }
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
-    m_gate.Announce(Ready("b", 3), At(1000));  // it lives
+    m_gate.Announce(Ready("b", 3), At(1000));  // a second announcement confirms it
     m_gate.Announce(Ready("a", 50), At(1400));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
   }
@@ -222,7 +224,7 @@
   }
 
   void AfterARestartTheLateWordMayComeFirst() {
-    m_gate.Announce(Ready("a", 70), At(0));  // late
+    m_gate.Announce(Ready("a", 70), At(0));  // delayed
     m_gate.Announce(Ready("b", 1), At(300));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
     m_gate.Announce(Ready("b", 2), At(1300));
@@ -232,7 +234,7 @@
 
   void AfterARestartTheLateWordMayComeSecond() {
     m_gate.Announce(Ready("b", 12), At(0));
-    m_gate.Announce(Ready("a", 70), At(100));  // late; neither is certain yet
+    m_gate.Announce(Ready("a", 70), At(100));  // delayed; neither incarnation is confirmed yet
     m_gate.Announce(Ready("b", 13), At(1000));
     m_gate.Announce(Ready("b", 14), At(2000));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
@@ -242,12 +244,12 @@
     Expect(EndpointStanding::kLeaving, 3200);
   }
 
-  // The gate remembered only the last one that left.
+  // Regression test: the gate remembered only the last incarnation that left.
   void ALateDrainOfAnOlderOneDoesNotReopenTheGate() {
     HearTwice("b", 0);
     m_gate.Deregister({"b"}, At(2000));
     m_gate.Announce(Draining("a", 60), At(2100));
-    m_gate.Announce(Ready("b", 9), At(2200));  // sent before it deregistered
+    m_gate.Announce(Ready("b", 9), At(2200));  // sent before its deregistration
     Expect(EndpointStanding::kLeaving, 2200);
   }
 
@@ -269,7 +271,7 @@
     Expect(EndpointStanding::kAdmitting, 1500);
   }
 
-  // The acknowledgement binds.
+  // Once acknowledged, the end of an incarnation is final.
   void ASuccessorThatLeavesBeforeItIsBelievedClosesTheGate() {
     HearTwice("a", 0);
     m_gate.Announce(Ready("b", 1), At(1500));
@@ -285,12 +287,12 @@
     CPPUNIT_ASSERT(m_gate.MayBeCold(At(0)));
     HearTwice("a", 0);
     CPPUNIT_ASSERT(!m_gate.MayBeCold(At(1000)));
-    m_gate.Announce(Ready("b", 1), At(1100));  // it may have taken its place
+    m_gate.Announce(Ready("b", 1), At(1100));  // possibly a successor
     CPPUNIT_ASSERT(m_gate.MayBeCold(At(1100)));
     m_gate.Announce(Ready("a", 3), At(2000));
     CPPUNIT_ASSERT(!m_gate.MayBeCold(At(2000)));
     m_gate.NoteProbe(ProbeResult::kRefused, At(2100));
-    m_gate.NoteActivity(true, At(2200));  // another process may answer now
+    m_gate.NoteActivity(true, At(2200));  // the packet may come from another process
     CPPUNIT_ASSERT(m_gate.MayBeCold(At(2200)));
     m_gate.Announce({{"a"}, false, 4, milliseconds(500), 4}, At(3000));
     CPPUNIT_ASSERT(m_gate.MayBeCold(At(3400)));
@@ -312,7 +314,7 @@
   }
 
  private:
-  // Heard at `at` and a period later.
+  // Announces the endpoint at `at` and one period later.
   void HearTwice(const std::string& id, std::int64_t at) {
     m_gate.Announce(Ready(id, 1), At(at));
     m_gate.Announce(Ready(id, 2), At(at + 1000));
--- a/libs/placement/tests/endpoint_restart_test.cpp
+++ b/libs/placement/tests/endpoint_restart_test.cpp
@@ -1,5 +1,5 @@
-// Endpoints that start again under the identifier that they had: what their gate believes, and what
-// becomes of the flows of the former life.
+// Tests of endpoints that restart under the same identifier: the state of their gate, and the flows
+// of the previous incarnation.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -75,7 +75,8 @@
     Expect(EndpointStanding::kAdmitting, 1300);
   }
 
-  // Its heartbeats were delayed by a cut, all come at once, and the agent never heard it before.
+  // The announcements were delayed by a partition and arrive together at an agent that has not
+  // heard the endpoint before.
   void AnEarlierLifeDoesNotReopenTheGate() {
     m_gate.Announce(Draining(kSecondStart, 3), At(0));
     for (std::uint64_t sequence = 7; sequence < 12; ++sequence) {
@@ -104,7 +105,7 @@
                    AnnouncementOutcome::kLate);
   }
 
-  // Two can't stand at one address.
+  // Two processes can't listen at one address.
   void ALaterStartUnderAnotherIdentifierIsTakenAtOnce() {
     HearTwice(kFirstStart, 40, 0);
     const Announcement successor{{"b", kSecondStart}, false, 4, milliseconds(0), 1};
@@ -142,7 +143,7 @@
     Expect(EndpointStanding::kAdmitting, 1100);
   }
 
-  // A restarted agent: what balancers remember speaks until the endpoint does.
+  // A restarted agent uses a balancer's memory until it hears the endpoint.
   void MemoryOfAFormerLifeGivesWay() {
     m_gate.Remember(Ready(kFirstStart, 90), EndpointStanding::kLeaving, At(0));
     Expect(EndpointStanding::kLeaving, 0);
@@ -174,7 +175,7 @@
     Live(kFirstStart);
     OpenAt(1);
     m_now += milliseconds(900);
-    // It starts again 100 ms later and is heard 300 ms after that.
+    // It restarts after 100 ms and is heard 300 ms later.
     m_now += milliseconds(400);
     const AnnouncementResult news =
         m_agent.OnAnnouncement(Ready(kSecondStart, 1), kSecondStart + 300, m_now);
@@ -196,7 +197,8 @@
     CPPUNIT_ASSERT(dead == (std::vector<DeadFlow>{{Flow(1), 5000}}));
   }
 
-  // Then only flows that the endpoint said nothing on since its former life was heard are dead.
+  // Without a usable start time, only flows without a packet from the endpoint since the previous
+  // incarnation was last heard are dead.
   void AClockThatJumpedKillsNoFlowOfTheNewLife() {
     Live(kFirstStart);
     OpenAt(1);
@@ -244,14 +246,14 @@
                          std::string(EndpointStandingName(m_gate.Standing(At(at)))));
   }
 
-  // The endpoint beside the agent announces itself twice.
+  // Announces the agent's endpoint twice.
   void Live(std::uint64_t started_ms) {
     m_agent.OnAnnouncement(Ready(started_ms, 1), started_ms + 5, m_now);
     m_now += milliseconds(1000);
     m_agent.OnAnnouncement(Ready(started_ms, 2), started_ms + 1005, m_now);
   }
 
-  // A flow is opened and the endpoint answers its first request.
+  // Opens a flow, and lets the endpoint answer its first request.
   void OpenAt(std::uint16_t port) {
     Forward(Opening(Flow(port)));
     FlowPacket answer = Data(Flow(port), 5000, 0);
--- a/libs/placement/tests/held_addresses_test.cpp
+++ b/libs/placement/tests/held_addresses_test.cpp
@@ -32,8 +32,8 @@
 constexpr base::Duration kLifetime = std::chrono::seconds(60);
 const base::SocketAddress other_address = base::SocketAddress::Ipv4(0xc6120002, 443);
 
-// The route names the service of agents 1 and 2. Agents 11 and on serve another one, which was
-// behind the route before the balancer started.
+// The route refers to the service of agents 1 and 2. Agents from 11 on belong to another service,
+// to which the route referred before the balancer started.
 class HeldAddressesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HeldAddressesTest);
   CPPUNIT_TEST(AYoungBalancerFindsTheFlowsOfAServiceThatLeftTheRoute);
@@ -169,7 +169,7 @@
     CPPUNIT_ASSERT(Transfer(report).held.may_be_more);
   }
 
-  // A control header and a report with nothing but its life.
+  // A control header and a report that contains only the agent's incarnation.
   void ReportsOfAnOlderReleaseSayNothing() {
     ForwardHeader header;
     header.kind = MessageKind::kControl;
@@ -191,7 +191,7 @@
     m_core->OnReport(Node(number), report, m_now);
   }
 
-  // Lets all agents return a packet of an unknown flow; returns those that were asked.
+  // Returns the agents that are asked for an unknown flow when each of them returns the packet.
   std::set<base::SocketAddress> Asked() {
     const FlowPacket packet = Data(Flow(1), 101);
     m_last = m_core->OnClientPacket(packet, m_now);
@@ -242,7 +242,7 @@
   base::TimePoint m_now = At(0);
   std::uint64_t m_sequence = 0;
   BalancerDecision m_last;
-  std::vector<base::SocketAddress> m_order;  // of the agents that were asked
+  std::vector<base::SocketAddress> m_order;  // agents in the order in which they were asked
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(HeldAddressesTest);
--- a/libs/placement/tests/outlier_detector_test.cpp
+++ b/libs/placement/tests/outlier_detector_test.cpp
@@ -182,7 +182,7 @@
     CPPUNIT_ASSERT(!m_agent->MakeReport(At(100)).is_ejected);
   }
 
-  // All slots have been in use for a while: whatever it resets now, it is not idle for its resets.
+  // All slots have been in use for a while, so the endpoint is not idle because of its resets.
   void ResetsInAnOverloadAreNoEvidence() {
     constexpr std::uint16_t kSlots = 100;
     for (std::uint16_t port = 1; port <= kSlots; ++port) {
@@ -211,7 +211,7 @@
     CPPUNIT_ASSERT(AgentVerdict::kDeliver == Forward(Opening(Flow(50)), {}, 100).verdict);
   }
 
-  // The ejected one is idle, the other nearly full.
+  // The ejected endpoint is idle, the other one nearly full.
   void ABalancerPassesOverEjectedEndpoints() {
     BalancerCore balancer = MakeBalancer();
     CPPUNIT_ASSERT(CountAt(balancer, Node(2), 100) <= 12);
@@ -235,7 +235,7 @@
     }
   }
 
-  // Where all endpoints are ejected, no other flow would bring one back.
+  // If all endpoints are ejected, no other flow could serve as a trial.
   void AFlowWithNowhereElseToGoIsATrial() {
     ResetRequests(3);
     ForwardHeader header;
@@ -248,8 +248,8 @@
     CPPUNIT_ASSERT(!m_agent->MakeReport(At(700)).is_ejected);
   }
 
-  // In an overload, what can't be answered in time is refused, not queued at an endpoint that
-  // fails.
+  // In an overload, flows that can't be answered in time are refused, not queued at a failing
+  // endpoint.
   void AnEjectedEndpointIsNotPiledUpWithWork() {
     BalancerCore balancer(BalancerSettings{.zone = "east"}, m_random, At(0));
     balancer.SetRoutes(Routes(1));
--- a/libs/placement/tests/overload_replay_test.cpp
+++ b/libs/placement/tests/overload_replay_test.cpp
@@ -1,5 +1,5 @@
-// Replays the load that RequestQueue answers: an agent before an endpoint with two slots, in
-// simulated time, with more requests on open flows than the endpoint can do.
+// Simulates the overload that RequestQueue is meant for: an agent whose endpoint has two slots
+// receives more requests on open flows than the endpoint can serve. Runs in simulated time.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -25,9 +25,10 @@
 using testing::orders_service;
 
 constexpr std::uint32_t kSlots = 2;
-constexpr std::int64_t kWork = 30;         // ms, of each request
-constexpr std::int64_t kSeconds = 20;      // of load
-constexpr std::size_t kEndpointQueue = 8;  // beyond its slots; what is more is rejected at once
+constexpr std::int64_t kWork = 30;     // ms for each request
+constexpr std::int64_t kSeconds = 20;  // duration of the load
+// Beyond the slots; further requests are rejected at once.
+constexpr std::size_t kEndpointQueue = 8;
 constexpr std::uint16_t kFlows = 400;      // a quarter of them urgent
 constexpr std::int64_t kTarget = 250;      // ms
 constexpr std::int64_t kTimeLimit = 3000;  // ms
@@ -42,7 +43,7 @@
   double InTimeShare() const { return static_cast<double>(in_time) / asked; }
 };
 
-// One agent and its endpoint, which works on what it gets in the order in which it came.
+// An agent and its endpoint, which serves requests in order of arrival.
 class Replay {
  public:
   explicit Replay(bool queues_requests) {
@@ -61,7 +62,7 @@
     }
   }
 
-  // Plays some seconds with `load` times the requests that the endpoint can do, then rest.
+  // Applies `load` times the endpoint's capacity for kSeconds, then no load.
   void Play(double load) {
     const double per_millisecond = load * kSlots / kWork;
     for (std::int64_t now = 1000; now < 1000 + (kSeconds + 5) * 1000; ++now) {
@@ -111,7 +112,7 @@
     const auto port = static_cast<std::uint16_t>(m_random.NextBelow(kFlows));
     Caller& caller = m_callers[port];
     if (caller.asked_at && now - *caller.asked_at < kTimeLimit) {
-      return;  // it waits for an answer
+      return;  // an answer is pending
     }
     caller.asked_at = now;
     ++outcomes[PriorityOf(port)].asked;
@@ -167,7 +168,8 @@
   std::optional<AgentCore> m_agent;
   std::map<std::uint16_t, Caller> m_callers;
   std::deque<std::uint16_t> m_at_endpoint;
-  std::vector<std::pair<std::uint16_t, std::int64_t>> m_working;  // and when it is done
+  // Flow, and when its answer is due.
+  std::vector<std::pair<std::uint16_t, std::int64_t>> m_working;
 };
 
 class OverloadReplayTest : public CppUnit::TestFixture {
@@ -188,7 +190,7 @@
     }
   }
 
-  // In time, of what the endpoint could do: nearly all, for each excess.
+  // Nearly all of the capacity is used for requests answered in time, at each level of overload.
   void UsefulWorkStaysAtTheCapacity() {
     for (const double load : {1.2, 2.0, 5.0}) {
       Replay replay(true);
@@ -198,7 +200,8 @@
     }
   }
 
-  // The check itself: the endpoint rejects whoever comes while its queue is full.
+  // Checks the simulation itself: without the queue, the endpoint rejects any request while its own
+  // queue is full.
   void WithoutTheQueueTheUrgentAreRejectedLikeOthers() {
     Replay replay(false);
     replay.Play(2.0);
--- a/libs/placement/tests/peer_agent_list_test.cpp
+++ b/libs/placement/tests/peer_agent_list_test.cpp
@@ -13,7 +13,7 @@
 using testing::Node;
 using testing::Report;
 
-constexpr std::size_t kDatagramLimit = 1'400;  // bytes: no fragments
+constexpr std::size_t kDatagramLimit = 1'400;  // bytes; avoids IP fragmentation
 
 class PeerAgentListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerAgentListTest);
--- a/libs/placement/tests/request_queue_test.cpp
+++ b/libs/placement/tests/request_queue_test.cpp
@@ -1,4 +1,5 @@
-// Requests before a full endpoint: the order in which they are let through, and the agent's part.
+// Tests of the order of requests that wait for a full endpoint, and of the agent's use of the
+// queue.
 #include "gaugevalve/placement/request_queue.h"
 
 #include <cppunit/TestFixture.h>
@@ -62,7 +63,8 @@
     Add(1, kOrdinary, 0);
     Add(2, kOrdinary, 100);
     Add(3, kOrdinary, 200);
-    // At 330 ms the first two have used up their 250 ms, two answers' 60 ms included.
+    // At 330 ms the first two requests can no longer meet their target of 250 ms, with 60 ms for
+    // two usual answer times.
     CPPUNIT_ASSERT(Order(330) == (std::vector<std::uint16_t>{3, 1, 2}));
   }
 
@@ -157,7 +159,7 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RequestQueueTest);
 
-// Two slots, and more requests than they can do.
+// An endpoint with two slots that receives more requests than it can serve.
 class FullEndpointTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FullEndpointTest);
   CPPUNIT_TEST(RequestsBeyondTheSlotsWait);
@@ -223,7 +225,7 @@
   void PacketsOfARequestUnderWayDontWait() {
     Fill();
     CPPUNIT_ASSERT(Send(1, kOrdinary, 111).verdict == AgentVerdict::kDeliver);
-    CPPUNIT_ASSERT(Send(1, kOrdinary, 101).verdict == AgentVerdict::kDeliver);  // a copy
+    CPPUNIT_ASSERT(Send(1, kOrdinary, 101).verdict == AgentVerdict::kDeliver);  // a retransmission
   }
 
   void AllPacketsOfAWaitingRequestWait() {
@@ -356,7 +358,7 @@
     return m_agent->OnForwarded(Opening(Flow(port)), header, SearchRoute(), Node(1), m_now);
   }
 
-  // A flow that the endpoint holds, without a request.
+  // Opens a flow that the endpoint holds, without a request.
   void OpenFlow(std::uint16_t port) {
     OpenAtFull(port, kOrdinary, 0);
     FlowPacket answer;
@@ -382,7 +384,7 @@
     m_agent->OnEndpointPacket(answer, 0, m_now);
   }
 
-  // As many requests as the endpoint is given at a time, on flows 1 and on.
+  // Sends as many requests as the endpoint is given at a time, on flows from 1 on.
   void Fill() {
     for (std::uint16_t port = 1; port <= kSlots + 1; ++port) {
       Request(port, kOrdinary);
--- a/libs/placement/tests/stored_listing_test.cpp
+++ b/libs/placement/tests/stored_listing_test.cpp
@@ -1,8 +1,9 @@
-// What callers saw: after a stop of everything, 1,765 requests of one day were late and 787 failed,
-// in four seconds. Agents that had left before the stop were still named by the store's listing;
-// each balancer asked them in vain for 1.25 s and more (agents_found heard=53 unreachable=7
-// expected=51) and reset no flow that nobody held meanwhile. The listing was renewed only where the
-// number of agents had changed by one in twenty, ten seconds after the last time.
+// Guards against late and failed requests after a full restart: 1,765 requests were late and 787
+// failed within four seconds. The stored listing still contained agents that had gone before the
+// restart. Each balancer queried them for at least 1.25 s without an answer (agents_found heard=53
+// unreachable=7 expected=51), and during that time reset no flow without a holder. The cause was
+// that the listing was rewritten only when the number of agents had changed by one in twenty, ten
+// seconds after the last time.
 #include "gaugevalve/placement/stored_listing.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -52,7 +53,7 @@
     StoredListing stored;
     stored.NoteStored(Listing(kAgents));
     CPPUNIT_ASSERT(stored.IsOutdated(kAgents, [](const base::SocketAddress& agent) {
-      return agent == Node(kFirstAgent + 7);  // and another one has come
+      return agent == Node(kFirstAgent + 7);  // and another agent has started
     }));
   }
 
@@ -83,7 +84,7 @@
     Balancer balancer;
     HearAll(balancer, 0, At(0));
     balancer.core.OnReport(Node(kFirstAgent), Report(2, 0, EndpointStanding::kStopping), At(100));
-    HearAll(balancer, 2, At(8'000));  // the first two say nothing any more
+    HearAll(balancer, 2, At(8'000));  // the first two agents are silent from now on
     CPPUNIT_ASSERT(balancer.core.IsGone(Node(kFirstAgent), At(8'000)));
     CPPUNIT_ASSERT(balancer.core.IsGone(Node(kFirstAgent + 1), At(8'000)));
     CPPUNIT_ASSERT(!balancer.core.IsGone(Node(kFirstAgent + 2), At(8'000)));
--- a/libs/placement/tests/warm_up_limiter_test.cpp
+++ b/libs/placement/tests/warm_up_limiter_test.cpp
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(kLimit, Take(limiter, 1100, 50));
   }
 
-  // Wherever the second lies, and whenever openings are asked for.
+  // Checks each window of one second, with openings requested at various times.
   void NoSecondGetsMoreThanTheLimit() {
     WarmUpLimiter limiter(kTolerance);
     limiter.SetRate(kRate);
@@ -79,7 +79,7 @@
     for (int count = 0; count < 18; ++count) {
       limiter.Note(At(5000));  // while the endpoint was warm
     }
-    CPPUNIT_ASSERT_EQUAL(0, Take(limiter, 5500, 50));  // the first second since the first use
+    CPPUNIT_ASSERT_EQUAL(0, Take(limiter, 5500, 50));  // within one second of the first use
     CPPUNIT_ASSERT_EQUAL(kLimit, Take(limiter, 6100, 50));
     for (int count = 0; count < 18; ++count) {
       limiter.Note(At(8000));
@@ -88,7 +88,7 @@
   }
 
  private:
-  // Takes as many openings as there is room for, at most `most`.
+  // Takes as many openings as the limiter allows, at most `most`.
   static int Take(WarmUpLimiter& limiter, std::int64_t at, int most) {
     int taken = 0;
     while (taken < most && limiter.HasRoom(At(at))) {
