--- a/libs/placement/include/gaugevalve/placement/agent_core.h
+++ b/libs/placement/include/gaugevalve/placement/agent_core.h
@@ -83,15 +83,15 @@
 struct QueueCounters {
   std::uint64_t queued = 0;
   std::uint64_t given_up = 0;  ///< dropped because the caller's time limit passed in the queue
-  std::uint64_t dropped_on_full_queue =
-      0;  ///< dropped because the queue was full; the clients retransmit them
+  /// Dropped because the queue was full; the clients retransmit them.
+  std::uint64_t dropped_on_full_queue = 0;
 };
 
 /// Action for one packet.
 struct AgentDecision {
   AgentVerdict verdict = AgentVerdict::kDrop;
-  std::uint32_t mark =
-      0;  ///< for kDeliver and kQueue: the endpoint returns it with a packet that it bounces
+  /// For kDeliver and kQueue: the endpoint returns it with a packet that it bounces.
+  std::uint32_t mark = 0;
   base::SocketAddress balancer;  ///< for kReturn
   ForwardHeader header;          ///< for kReturn and kForwardToNextAgent
   base::SocketAddress next;      ///< for kForwardToNextAgent: the next agent of the search
@@ -193,7 +193,7 @@
 
  private:
   // For this long an opening without a request counts as a request that is about to arrive.
-  static constexpr base::Duration kOpeningTime = std::chrono::milliseconds(300);
+  static constexpr base::Duration kOpeningTimeout = std::chrono::milliseconds(300);
 
   enum class FlowState : std::uint8_t {
     kOpening,
@@ -241,21 +241,21 @@
   bool IsIdle(const FlowRecord& record, base::TimePoint now) const;
   template <std::predicate<const FlowRecord&> Condition>
   std::size_t EndFlows(Condition is_over, base::TimePoint now);
-  static base::TimePoint StartOf(const EndpointIncarnation& incarnation, std::uint64_t unix_ms,
-                                 base::TimePoint last_heard, base::TimePoint now);
+  static base::TimePoint StartTime(const EndpointIncarnation& incarnation, std::uint64_t unix_ms,
+                                   base::TimePoint last_heard, base::TimePoint now);
   void NoteHeldAddresses(base::TimePoint now);
   std::uint32_t Busy() const {
     return m_waiting + m_opening + static_cast<std::uint32_t>(m_queue.Size());
   }
   std::uint32_t BusyFor(std::uint8_t priority) const;
-  bool MustWait(const FlowRecord& record, const FlowPacket& packet,
-                const ForwardHeader& header) const;
+  bool ShouldQueue(const FlowRecord& record, const FlowPacket& packet,
+                   const ForwardHeader& header) const;
   AgentDecision Enqueue(FlowRecord& record, const FlowPacket& packet, const ForwardHeader& header,
                         const base::SocketAddress& balancer, base::TimePoint now);
   std::uint32_t AtEndpoint() const;
   bool HasRoom() const;
   std::uint32_t Slots() const { return std::max(1U, m_gate.Newest().capacity); }
-  bool PassesAll(base::TimePoint now) const;
+  bool MustReleaseAll(base::TimePoint now) const;
   void Release(const FlowKey& flow, base::TimePoint now);
   void Abandon(const FlowKey& flow, base::TimePoint now);
   void NoteRequestSize(FlowRecord& record);
@@ -269,7 +269,7 @@
   EndpointGate m_gate;
   EvacuatedZones m_evacuated;
   // When the evacuation of the agent's zone last ended.
-  std::optional<base::TimePoint> m_taken_back_at;
+  std::optional<base::TimePoint> m_evacuation_ended_at;
   WarmUpLimiter m_warm_up;
   HeldAddressTracker m_held;
   absl::flat_hash_map<FlowKey, FlowRecord> m_flows;
@@ -278,8 +278,8 @@
   std::uint64_t m_report_sequence = 0;
   std::uint64_t m_held_routes = 0;  // configuration version held by the agent; 0 for none
   ReportSchedule m_reports;
-  OutlierDetector m_outcomes;
-  EndpointIncarnation m_monitored;  // incarnation that m_outcomes describes
+  OutlierDetector m_outlier_detector;
+  EndpointIncarnation m_outlier_incarnation;  // incarnation that m_outlier_detector describes
   DeadFlows m_dead;
   RequestQueue m_queue;
   std::vector<FlowKey> m_displaced;  // flows that lost their place in the queue to more urgent ones
--- a/libs/placement/include/gaugevalve/placement/agent_discovery.h
+++ b/libs/placement/include/gaugevalve/placement/agent_discovery.h
@@ -28,11 +28,11 @@
   /// Records an agent that was named by another node and has not been heard.
   /// @return  whether to query it now; otherwise TakeDueQueries() returns it later
   bool TakeNamed(const base::SocketAddress& agent, base::TimePoint now) {
-    return m_questions.Ask(agent, now);
+    return m_queries.Ask(agent, now);
   }
 
   /// Records that the agent has been heard.
-  void NoteHeard(const base::SocketAddress& agent) { m_questions.NoteHeard(agent); }
+  void NoteHeard(const base::SocketAddress& agent) { m_queries.NoteHeard(agent); }
 
   /// Returns whether to ask an agent that has just been heard for its list of other agents, and
   /// counts the query. The first few agents are asked, and more while some agents are still
@@ -41,15 +41,15 @@
 
   /// Returns the agents to query now, for the first time or again. Call a few times a second.
   std::vector<base::SocketAddress> TakeDueQueries(base::TimePoint now) {
-    return m_questions.TakeDue(now);
+    return m_queries.TakeDue(now);
   }
 
   /// Returns whether the agent was named and has answered none of its queries.
-  bool IsGivenUp(const base::SocketAddress& agent) const { return m_questions.IsGivenUp(agent); }
+  bool IsGivenUp(const base::SocketAddress& agent) const { return m_queries.IsGivenUp(agent); }
 
   /// Removes the named agents for which `is_gone` returns true.
   void Forget(const std::function<bool(const base::SocketAddress&)>& is_gone) {
-    m_questions.Forget(is_gone);
+    m_queries.Forget(is_gone);
   }
 
   /// Returns the deployment's number of agents as stated by others; 0 if not stated.
@@ -60,7 +60,7 @@
   bool HasUnnamedAgents(std::size_t heard) const;
 
   /// Returns whether a named agent may still answer.
-  bool IsWaiting() const { return m_questions.Count() > m_questions.GivenUpCount(); }
+  bool IsWaiting() const { return m_queries.Count() > m_queries.GivenUpCount(); }
 
   /// Returns whether discovery is complete: nearly all agents have been heard, or all have been
   /// heard or given up.
@@ -68,12 +68,12 @@
   bool IsComplete(std::size_t heard) const;
 
   /// Returns the number of agents that answered none of their queries.
-  std::size_t UnreachableCount() const { return m_questions.GivenUpCount(); }
+  std::size_t UnreachableCount() const { return m_queries.GivenUpCount(); }
 
  private:
   std::size_t m_agent_count = 0;
-  std::size_t m_fellows_asked = 0;  // queries for an agent's list of other agents
-  AgentQueries m_questions;
+  std::size_t m_peer_list_queries = 0;  // queries for an agent's list of other agents
+  AgentQueries m_queries;
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/agent_queries.h
+++ b/libs/placement/include/gaugevalve/placement/agent_queries.h
@@ -19,8 +19,8 @@
 /// and the number of agents are bounded. Not thread-safe.
 class AgentQueries {
  public:
-  /// @param most_questions  number of unanswered queries after which an agent is given up
-  explicit AgentQueries(unsigned most_questions) : m_most_questions(most_questions) {}
+  /// @param max_queries  number of unanswered queries after which an agent is given up
+  explicit AgentQueries(unsigned max_queries) : m_max_queries(max_queries) {}
 
   /// Interval between two queries to the same agent. It is short so that a simultaneously
   /// restarting agent is found soon after it is up: in logs of full restarts, agents were up after
@@ -48,29 +48,29 @@
 
   /// Return the number of agents that were queried and not heard, and how many of them were given
   /// up.
-  std::size_t Count() const { return m_questions.size(); }
+  std::size_t Count() const { return m_queries.size(); }
   std::size_t GivenUpCount() const { return m_given_up; }
 
  private:
   // 1,000 queries a second. The reports sent in answer take less than 130 KB a second, and a fleet
   // of 3,800 agents is queried within four seconds.
-  static constexpr std::size_t kQuestionsPerPeriod = 250;
+  static constexpr std::size_t kQueriesPerPeriod = 250;
   static constexpr base::Duration kBudgetPeriod = std::chrono::milliseconds(250);
 
-  struct Question {
+  struct Query {
     base::TimePoint first_at{};
     base::TimePoint next_at{};
     unsigned asked = 0;  // number of queries sent
     bool is_given_up = false;
   };
 
-  static void NoteAsked(Question& question, base::TimePoint now);
+  static void NoteAsked(Query& query, base::TimePoint now);
 
-  unsigned m_most_questions;
+  unsigned m_max_queries;
   std::size_t m_given_up = 0;
   // By agent; agents that have been heard are removed.
-  absl::flat_hash_map<base::SocketAddress, Question> m_questions;
-  base::RateBudget m_budget{kQuestionsPerPeriod, kBudgetPeriod};
+  absl::flat_hash_map<base::SocketAddress, Query> m_queries;
+  base::RateBudget m_budget{kQueriesPerPeriod, kBudgetPeriod};
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/agent_reporter.h
+++ b/libs/placement/include/gaugevalve/placement/agent_reporter.h
@@ -51,7 +51,7 @@
   bool HasNoBalancer(base::TimePoint now) const;
 
   /// Returns the number of greetings left unanswered because of the rate limit.
-  std::uint64_t SuppressedAnswerCount() const { return m_answers_left_out; }
+  std::uint64_t SuppressedAnswerCount() const { return m_suppressed_answers; }
 
  private:
   std::vector<base::SocketAddress> Targets(base::TimePoint now) const;
@@ -59,9 +59,9 @@
   base::Incarnation m_life;
   AgentCore& m_core;
   BalancerList m_balancers;
-  PeerAgentList m_fellows;
+  PeerAgentList m_peer_agents;
   base::TimePoint m_greeted_at{};  // last greeting from any balancer
-  std::uint64_t m_answers_left_out = 0;
+  std::uint64_t m_suppressed_answers = 0;
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/configuration_replica.h
+++ b/libs/placement/include/gaugevalve/placement/configuration_replica.h
@@ -67,7 +67,7 @@
  private:
   // The newest offers are kept. An offer whose fetch failed is replaced by the next one or two
   // reports.
-  static constexpr std::size_t kMostOffers = 8;
+  static constexpr std::size_t kMaxOffers = 8;
 
   struct Offer {
     base::SocketAddress agent;
--- a/libs/placement/include/gaugevalve/placement/endpoint_chooser.h
+++ b/libs/placement/include/gaugevalve/placement/endpoint_chooser.h
@@ -14,8 +14,8 @@
 /// Returns the expected load of an agent's endpoint with one more flow, relative to its capacity at
 /// normal speed. Counts the reported requests, this balancer's openings since the report and the
 /// open flows.
-/// @param ordinary_answer_time  typical answer time of the service's endpoints; 0 if unknown
-double ExpectedLoad(const KnownAgent& agent, base::Duration ordinary_answer_time,
+/// @param typical_answer_time  typical answer time of the service's endpoints; 0 if unknown
+double ExpectedLoad(const KnownAgent& agent, base::Duration typical_answer_time,
                     base::TimePoint now);
 
 /// Chooses among candidates. Candidates in the balancer's own zone have a small advantage, and near
--- a/libs/placement/include/gaugevalve/placement/endpoint_gate.h
+++ b/libs/placement/include/gaugevalve/placement/endpoint_gate.h
@@ -125,11 +125,11 @@
  private:
   void Take(const Announcement& announcement, base::TimePoint now);
   bool IsOver(const EndpointIncarnation& incarnation) const;
-  bool IsEarlierLife(const EndpointIncarnation& incarnation) const;
+  bool IsEarlierIncarnation(const EndpointIncarnation& incarnation) const;
   bool IsPresent(const EndpointIncarnation& incarnation) const;
   void NoteEnded(const EndpointIncarnation& incarnation);
   bool IsUnresponsive(base::TimePoint now) const;
-  bool GivesWayTo(const Announcement& announcement, base::TimePoint now);
+  bool IsReplacedBy(const Announcement& announcement, base::TimePoint now);
   base::Duration ConfirmationTime() const;
 
   base::Duration m_period;
@@ -148,11 +148,12 @@
   base::TimePoint m_successor_at{};
   base::TimePoint m_first_heard_at{};  // first announcement of the current incarnation
   base::TimePoint m_heard_at{};
-  std::optional<base::TimePoint>
-      m_unanswered_since;  // first opening not followed by any packet from the endpoint
+  // First opening not followed by any packet from the endpoint.
+  std::optional<base::TimePoint> m_unanswered_since;
   bool m_is_absent = false;
   bool m_is_refused = false;  // the last health check was refused and the endpoint not heard since
-  bool m_was_away = false;    // it was unresponsive since it was last heard, and answers again
+  bool m_was_unresponsive =
+      false;  // it was unresponsive since it was last heard, and answers again
   // Last passed health check, used until the endpoint itself is heard.
   std::optional<base::TimePoint> m_healthy_at;
   std::optional<base::TimePoint> m_probed_at;
--- a/libs/placement/include/gaugevalve/placement/held_addresses.h
+++ b/libs/placement/include/gaugevalve/placement/held_addresses.h
@@ -51,7 +51,7 @@
   HeldAddresses Present(base::TimePoint now) const;
 
  private:
-  bool IsYoung(base::TimePoint now) const;
+  bool IsWithinFlowLifetime(base::TimePoint now) const;
 
   base::Duration m_flow_lifetime;
   bool m_knows_all;
--- a/libs/placement/include/gaugevalve/placement/load_notice.h
+++ b/libs/placement/include/gaugevalve/placement/load_notice.h
@@ -15,8 +15,9 @@
 /// The frequently changing part of an agent's report. It updates a report of the same incarnation
 /// that the receiver already has, and has no meaning without one.
 struct LoadNotice {
-  static constexpr std::size_t kSize = 30;       ///< bytes
-  static constexpr std::size_t kOlderSize = 22;  ///< bytes; format of releases without `queued`
+  static constexpr std::size_t kSize = 30;  ///< bytes
+  static constexpr std::size_t kSizeWithoutQueued =
+      22;  ///< bytes; format of releases without `queued`
 
   base::Incarnation life;      ///< incarnation of the agent; the lower 32 bits are sent
   std::uint64_t sequence = 0;  ///< shares the sequence of the reports; the lower 32 bits are sent
--- a/libs/placement/include/gaugevalve/placement/outlier_detector.h
+++ b/libs/placement/include/gaugevalve/placement/outlier_detector.h
@@ -31,14 +31,14 @@
 
   /// Return the total number of successes and of failures.
   std::uint64_t SuccessCount() const { return m_successes; }
-  std::uint64_t FailureCount() const { return m_all_failures; }
+  std::uint64_t FailureCount() const { return m_total_failures; }
 
   /// Returns how often the endpoint has been ejected.
   std::uint64_t EjectionCount() const { return m_ejections; }
 
  private:
   void Note(bool is_failure);
-  bool LooksBad() const;
+  bool IsOutlier() const;
   void Eject(base::TimePoint now);
   void Admit(base::TimePoint now);
 
@@ -53,7 +53,7 @@
   base::TimePoint m_admitted_at{};
   std::uint64_t m_ejections = 0;
   std::uint64_t m_successes = 0;
-  std::uint64_t m_all_failures = 0;
+  std::uint64_t m_total_failures = 0;
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/peer_agent_list.h
+++ b/libs/placement/include/gaugevalve/placement/peer_agent_list.h
@@ -32,14 +32,14 @@
  private:
   struct Entry {
     ListedAgent agent;
-    std::uint64_t name = 0;  // value of the naming counter when it was last named
+    std::uint64_t last_naming = 0;  // value of the naming counter when it was last named
   };
 
   void TakeOne(const ListedAgent& agent);
 
   base::SocketAddress m_self;
   std::vector<Entry> m_entries;
-  std::uint64_t m_names = 0;  // number of agents named so far
+  std::uint64_t m_naming_count = 0;  // number of agents named so far
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/request_queue.h
+++ b/libs/placement/include/gaugevalve/placement/request_queue.h
@@ -24,9 +24,9 @@
 /// determines which requests are answered in time. More urgent priorities go first. Within a
 /// priority, requests that can still meet their target go before those that can't. While all of
 /// them can meet it, the oldest goes first because it has the least time left. Otherwise the newest
-/// goes first, because in order of age each request would be answered just too late. One in kShare
-/// requests is taken from the least urgent priority, to prevent starvation. Bounded; a full queue
-/// accepts no more requests. Not thread-safe.
+/// goes first, because in order of age each request would be answered just too late. One in
+/// kLeastUrgentInterval requests is taken from the least urgent priority, to prevent starvation.
+/// Bounded; a full queue accepts no more requests. Not thread-safe.
 class RequestQueue {
  public:
   /// Maximum number of requests. With one full packet each they take 300 KB, out of an agent's 64
@@ -34,7 +34,7 @@
   /// than callers wait.
   static constexpr std::size_t kLimit = 256;
   /// One in this many requests is taken from the least urgent priority in the queue.
-  static constexpr unsigned kShare = 8;
+  static constexpr unsigned kLeastUrgentInterval = 8;
 
   /// Sets the request classes of the priorities.
   void SetClasses(const RequestClassTable& classes) { m_classes = classes; }
@@ -52,7 +52,7 @@
   bool Remove(const FlowKey& flow);
 
   /// Removes and returns the next flow.
-  std::optional<FlowKey> TakeNext(const EndpointServiceRate& pace, base::TimePoint now);
+  std::optional<FlowKey> TakeNext(const EndpointServiceRate& rate, base::TimePoint now);
 
   /// Removes and returns the flows whose callers' time limits have passed.
   std::vector<FlowKey> TakeExpired(base::TimePoint now);
@@ -64,20 +64,20 @@
   std::size_t Size() const { return m_waiting.size(); }
 
  private:
-  struct Waiting {
+  struct WaitingRequest {
     FlowKey flow;
     std::uint8_t priority = kDefaultPriority;
     base::TimePoint since{};
   };
 
-  bool CanBeInTime(const Waiting& request, base::Duration wait, base::TimePoint now) const;
-  std::size_t NextOf(std::uint8_t priority, const EndpointServiceRate& pace,
+  bool CanMeetTarget(const WaitingRequest& request, base::Duration wait, base::TimePoint now) const;
+  std::size_t NextOf(std::uint8_t priority, const EndpointServiceRate& rate,
                      base::TimePoint now) const;
   std::size_t LeastUrgent() const;
   FlowKey TakeAt(std::size_t index);
 
   RequestClassTable m_classes;
-  std::vector<Waiting> m_waiting;  // in order of arrival
+  std::vector<WaitingRequest> m_waiting;  // in order of arrival
   PriorityCounts m_counts{};
   unsigned m_taken = 0;
 };
--- a/libs/placement/include/gaugevalve/placement/stored_listing.h
+++ b/libs/placement/include/gaugevalve/placement/stored_listing.h
@@ -32,7 +32,7 @@
   /// @param is_gone  returns whether the agent at an address has gone
   template <std::predicate<const base::SocketAddress&> Condition>
   bool IsOutdated(std::size_t agent_count, Condition is_gone) const {
-    if (IsNumberOutdated(agent_count)) {
+    if (IsCountOutdated(agent_count)) {
       return true;
     }
     for (const base::SocketAddress& agent : m_named) {
@@ -44,7 +44,7 @@
   }
 
  private:
-  bool IsNumberOutdated(std::size_t agent_count) const;
+  bool IsCountOutdated(std::size_t agent_count) const;
 
   std::vector<base::SocketAddress> m_named;
   std::size_t m_agent_count = 0;  // 0 if nothing is stored
--- a/libs/placement/include/gaugevalve/placement/warm_up_limiter.h
+++ b/libs/placement/include/gaugevalve/placement/warm_up_limiter.h
@@ -49,12 +49,12 @@
 
  private:
   std::optional<std::size_t> Limit() const;
-  void ForgetOld(base::TimePoint now);
+  void DropExpired(base::TimePoint now);
 
   std::optional<WarmUpTolerance> m_tolerance;
   std::optional<WarmUpRate> m_rate;
   std::optional<base::TimePoint> m_begun_at;
-  std::deque<base::TimePoint> m_openings;  // in the last second; at most kMostOpenings
+  std::deque<base::TimePoint> m_openings;  // in the last second; at most kMaxOpenings
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/agent_core.cpp
+++ b/libs/placement/src/agent_core.cpp
@@ -10,7 +10,7 @@
 
 // A request without an answer for this long no longer counts: either the client has given up, or
 // the agent has misinterpreted a packet.
-constexpr base::Duration kWaitingLimit = std::chrono::seconds(6);
+constexpr base::Duration kAnswerWaitLimit = std::chrono::seconds(6);
 constexpr base::Duration kIdleLimit = std::chrono::seconds(60);
 // A flow closed by both ends is kept for late packets.
 constexpr base::Duration kClosedLimit = std::chrono::seconds(2);
@@ -22,7 +22,7 @@
 // The limit separates it from an endpoint that is idle because it resets flows at once. Under
 // ordinary load, agents reported a busy_average of 0.37 to 0.78 for two slots, which is a fraction
 // of 0.18 to 0.39.
-constexpr double kLoadedPart = 0.75;
+constexpr double kLoadedFraction = 0.75;
 // A mark holds the balancer's index in the upper bits and the attempt in the lower ones.
 constexpr unsigned kAttemptBits = 8;
 constexpr std::uint32_t kAttemptMask = (1U << kAttemptBits) - 1;
@@ -56,7 +56,7 @@
       record.route = header.has_route ? route : SearchRoute();
       record.search_round = header.search_round;
     }
-    if (MustWait(record, packet, header)) {
+    if (ShouldQueue(record, packet, header)) {
       return Enqueue(record, packet, header, balancer, now);
     }
     NoteClientPacket(record, packet, now);
@@ -169,8 +169,8 @@
 AgentDecision AgentCore::ReturnOrPassOn(const ForwardHeader& header, const SearchRoute& route,
                                         const base::SocketAddress& balancer,
                                         ReturnReason reason) const {
-  constexpr std::uint8_t kMostAttempts = 255;
-  if (route.next.empty() || header.attempt == kMostAttempts) {
+  constexpr std::uint8_t kMaxAttempts = 255;
+  if (route.next.empty() || header.attempt == kMaxAttempts) {
     return Return(header, balancer, reason);
   }
   AgentDecision decision;
@@ -238,11 +238,11 @@
 }
 
 OutlierDetector& AgentCore::OutlierDetection() {
-  if (m_monitored != m_gate.Newest().incarnation) {
-    m_monitored = m_gate.Newest().incarnation;
-    m_outcomes = {};
+  if (m_outlier_incarnation != m_gate.Newest().incarnation) {
+    m_outlier_incarnation = m_gate.Newest().incarnation;
+    m_outlier_detector = {};
   }
-  return m_outcomes;
+  return m_outlier_detector;
 }
 
 // A reset in place of an answer is a failure, unless one of the ends had closed the flow or the
@@ -255,7 +255,7 @@
     return;
   }
   const std::uint32_t capacity = std::max(1U, m_gate.Newest().capacity);
-  const bool is_loaded = Busy() > capacity || m_busy_average > kLoadedPart * capacity;
+  const bool is_loaded = Busy() > capacity || m_busy_average > kLoadedFraction * capacity;
   if (packet.is_reset && !is_loaded) {
     OutlierDetection().NoteFailure(now);
   } else if (!packet.is_reset && record.state == FlowState::kWaiting && packet.data_size > 0) {
@@ -311,7 +311,7 @@
   const bool was_evacuated = IsEvacuated();
   const bool has_changed = m_evacuated.Take(evacuated);
   if (was_evacuated && !IsEvacuated()) {
-    m_taken_back_at = now;
+    m_evacuation_ended_at = now;
   }
   return has_changed;
 }
@@ -319,8 +319,9 @@
 // An endpoint may turn cold shortly before the end of an evacuation and announce this only later.
 bool AgentCore::MayBeCold(base::TimePoint now) const {
   const base::Duration duration = m_warm_up.Rate() ? m_warm_up.Rate()->duration : base::Duration(0);
-  const bool was_just_taken_back = m_taken_back_at && now - *m_taken_back_at <= duration;
-  return was_just_taken_back || m_gate.MayBeCold(now);
+  const bool has_evacuation_just_ended =
+      m_evacuation_ended_at && now - *m_evacuation_ended_at <= duration;
+  return has_evacuation_just_ended || m_gate.MayBeCold(now);
 }
 
 EndpointStanding AgentCore::Standing(base::TimePoint now) const {
@@ -384,9 +385,9 @@
   m_open_flows = 0;
   for (auto& [flow, record] : m_flows) {
     const bool is_stuck_opening =
-        record.state == FlowState::kOpening && now - record.since > kOpeningTime;
+        record.state == FlowState::kOpening && now - record.since > kOpeningTimeout;
     const bool is_stuck_waiting =
-        record.state == FlowState::kWaiting && now - record.since > kWaitingLimit;
+        record.state == FlowState::kWaiting && now - record.since > kAnswerWaitLimit;
     m_open_flows += record.client_closed || record.endpoint_closed ? 0 : 1;
     if (is_stuck_opening || is_stuck_waiting) {
       SetState(record, FlowState::kIdle, now);
--- a/libs/placement/src/agent_directory.cpp
+++ b/libs/placement/src/agent_directory.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 // Factor by which the share of openings decays with each report of the agent.
-constexpr double kShareKept = 0.9;
+constexpr double kPlacedShareDecay = 0.9;
 // An agent in use reports within 250 ms; this limit allows one report to be lost.
 constexpr base::Duration kAnswerLimit = std::chrono::milliseconds(500);
 
@@ -52,20 +52,21 @@
     return ReportOutcome::kNew;
   }
   KnownAgent& agent = found->second;
-  const bool is_same_life = report.life == agent.report.life;
-  const bool is_older_life = !is_same_life && report.life == agent.previous_incarnation;
-  if (is_older_life || (is_same_life && report.sequence <= agent.report.sequence)) {
+  const bool is_same_incarnation = report.life == agent.report.life;
+  const bool is_older_incarnation =
+      !is_same_incarnation && report.life == agent.previous_incarnation;
+  if (is_older_incarnation || (is_same_incarnation && report.sequence <= agent.report.sequence)) {
     return ReportOutcome::kLate;
   }
   const bool was_only_listed = agent.is_only_listed;
-  if (!is_same_life && !was_only_listed) {
+  if (!is_same_incarnation && !was_only_listed) {
     agent.previous_incarnation = agent.report.life;
   }
   const bool standing_changed = report.standing != agent.report.standing;
   Adopt(agent, report, now);
   agent.placed_since_report = 0;
-  agent.placed_share *= kShareKept;
-  if (!is_same_life) {
+  agent.placed_share *= kPlacedShareDecay;
+  if (!is_same_incarnation) {
     return ReportOutcome::kNew;
   }
   return standing_changed ? ReportOutcome::kStandingChanged : ReportOutcome::kTaken;
@@ -88,7 +89,7 @@
   agent->report.load.answer_time = notice.answer_time;
   agent->heard_at = now;
   agent->placed_since_report = 0;
-  agent->placed_share *= kShareKept;
+  agent->placed_share *= kPlacedShareDecay;
   agent->unanswered_since.reset();
   return true;
 }
--- a/libs/placement/src/agent_discovery.cpp
+++ b/libs/placement/src/agent_discovery.cpp
@@ -7,33 +7,33 @@
 
 // With this number of queries a named agent is given up after 1.25 s. A client whose flow's
 // endpoint has gone waits that long for a reset.
-constexpr unsigned kMostQuestions = 5;
+constexpr unsigned kMaxQueriesPerAgent = 5;
 // If this percentage of agents has been heard, a flow held by none of them has most likely ended.
 // After a full restart some agents don't come back, and each client whose flow has gone waits for a
 // reset.
-constexpr std::size_t kEnoughPercent = 95;
+constexpr std::size_t kSufficientPercent = 95;
 constexpr std::size_t kPercent = 100;
 // Number of agents that are always asked for their lists of other agents. More are asked only while
 // agents are missing.
-constexpr std::size_t kFellowsAskedFirst = 4;
+constexpr std::size_t kInitialPeerListQueries = 4;
 
 }  // namespace
 
-AgentDiscovery::AgentDiscovery() : m_questions(kMostQuestions) {}
+AgentDiscovery::AgentDiscovery() : m_queries(kMaxQueriesPerAgent) {}
 
 void AgentDiscovery::NoteAgentCount(std::size_t agents) {
   m_agent_count = std::max(m_agent_count, agents);
 }
 
 bool AgentDiscovery::HasUnnamedAgents(std::size_t heard) const {
-  return heard + m_questions.Count() < m_agent_count;
+  return heard + m_queries.Count() < m_agent_count;
 }
 
 bool AgentDiscovery::TakePeerListQuery(std::size_t heard) {
-  if (m_fellows_asked >= kFellowsAskedFirst && !HasUnnamedAgents(heard)) {
+  if (m_peer_list_queries >= kInitialPeerListQueries && !HasUnnamedAgents(heard)) {
     return false;
   }
-  ++m_fellows_asked;
+  ++m_peer_list_queries;
   return true;
 }
 
@@ -41,8 +41,8 @@
   if (!HasCount()) {
     return false;
   }
-  const std::size_t all = std::max(m_agent_count, heard + m_questions.Count());
-  const bool has_nearly_all = heard * kPercent >= all * kEnoughPercent;
+  const std::size_t all = std::max(m_agent_count, heard + m_queries.Count());
+  const bool has_nearly_all = heard * kPercent >= all * kSufficientPercent;
   const bool has_tried_all = !IsWaiting() && heard + UnreachableCount() >= m_agent_count;
   return has_nearly_all || has_tried_all;
 }
--- a/libs/placement/src/agent_endpoint_incarnation.cpp
+++ b/libs/placement/src/agent_endpoint_incarnation.cpp
@@ -30,31 +30,32 @@
 std::size_t AgentCore::NoteEndpointGone(base::TimePoint now) {
   // A flow with recent packets may be an opening meant for the endpoint's successor.
   return EndFlows(
-      [now](const FlowRecord& record) { return now - record.last_packet > kOpeningTime; }, now);
+      [now](const FlowRecord& record) { return now - record.last_packet > kOpeningTimeout; }, now);
 }
 
 AnnouncementResult AgentCore::OnAnnouncement(const Announcement& announcement,
                                              std::uint64_t unix_ms, base::TimePoint now) {
   const EndpointIncarnation before = m_gate.Newest().incarnation;
   const base::TimePoint last_heard = m_gate.HeardAt();
-  AnnouncementResult news;
-  news.outcome = m_gate.Announce(announcement, now);
+  AnnouncementResult result;
+  result.outcome = m_gate.Announce(announcement, now);
   const EndpointIncarnation& present = m_gate.Newest().incarnation;
-  news.is_successor = news.outcome == AnnouncementOutcome::kTaken && present.StartedAfter(before);
-  if (news.is_successor) {
+  result.is_successor =
+      result.outcome == AnnouncementOutcome::kTaken && present.StartedAfter(before);
+  if (result.is_successor) {
     const base::TimePoint started =
-        std::max(last_heard, StartOf(present, unix_ms, last_heard, now));
-    news.dead_flows =
+        std::max(last_heard, StartTime(present, unix_ms, last_heard, now));
+    result.dead_flows =
         EndFlows([started](const FlowRecord& record) { return record.held_at < started; }, now);
   }
-  return news;
+  return result;
 }
 
 // Returns when the endpoint started, on the clock that this machine shares with it. The time of day
 // may have been set since then, so an impossible start time is ignored; the time at which the
 // previous incarnation was last heard is then used.
-base::TimePoint AgentCore::StartOf(const EndpointIncarnation& incarnation, std::uint64_t unix_ms,
-                                   base::TimePoint last_heard, base::TimePoint now) {
+base::TimePoint AgentCore::StartTime(const EndpointIncarnation& incarnation, std::uint64_t unix_ms,
+                                     base::TimePoint last_heard, base::TimePoint now) {
   const bool is_past = incarnation.started_ms <= unix_ms;
   const auto age_ms = static_cast<std::int64_t>(is_past ? unix_ms - incarnation.started_ms : 0);
   const base::Duration since_heard = now - last_heard;
--- a/libs/placement/src/agent_reporter.cpp
+++ b/libs/placement/src/agent_reporter.cpp
@@ -6,19 +6,19 @@
 constexpr base::Duration kAliveFor = std::chrono::milliseconds(4000);
 constexpr base::Duration kForgetAfter = std::chrono::seconds(60);
 // Reports also go to seeds until this many other balancers are alive.
-constexpr std::size_t kEnoughBalancers = 8;
+constexpr std::size_t kMinAliveBalancers = 8;
 // Balancers greet an agent twice a second. After this long without a greeting, all known balancers
 // have gone, except in one case in a hundred. Other balancers may have started at other addresses.
-constexpr base::Duration kGreetingSilence = std::chrono::milliseconds(2500);
+constexpr base::Duration kGreetingTimeout = std::chrono::milliseconds(2500);
 
 }  // namespace
 
 AgentReporter::AgentReporter(const base::SocketAddress& self, base::Incarnation life,
                              AgentCore& core)
-    : m_life(life), m_core(core), m_balancers(self, kAliveFor), m_fellows(self) {}
+    : m_life(life), m_core(core), m_balancers(self, kAliveFor), m_peer_agents(self) {}
 
 std::vector<base::SocketAddress> AgentReporter::Targets(base::TimePoint now) const {
-  return m_balancers.Targets(kEnoughBalancers, now);
+  return m_balancers.Targets(kMinAliveBalancers, now);
 }
 
 std::vector<OutgoingReport> AgentReporter::OnGreeting(const BalancerGreeting& greeting,
@@ -29,7 +29,7 @@
   if (!greeting.is_learning) {
     m_core.Reports().SetAgentCount(greeting.agent_count);
   }
-  m_fellows.Take(greeting.agents);
+  m_peer_agents.Take(greeting.agents);
   std::vector<base::SocketAddress> unknown;
   for (const BalancerAge& balancer : greeting.balancers) {
     if (m_balancers.Note(balancer.address, balancer.age, now)) {
@@ -45,12 +45,12 @@
   }
   // Balancers that start together greet at the same moment, so answers are rate-limited.
   if (!m_core.Reports().TakeAnswer(now)) {
-    ++m_answers_left_out;
+    ++m_suppressed_answers;
     return reports;
   }
   OutgoingReport answer{m_core.MakeReport(now), {sender}};
   if (greeting.wants_fellows) {
-    answer.report.fellows = m_fellows.List();
+    answer.report.fellows = m_peer_agents.List();
   }
   reports.push_back(std::move(answer));
   return reports;
@@ -75,7 +75,7 @@
 }
 
 bool AgentReporter::HasNoBalancer(base::TimePoint now) const {
-  return now - m_greeted_at >= kGreetingSilence || m_balancers.Alive(now).empty();
+  return now - m_greeted_at >= kGreetingTimeout || m_balancers.Alive(now).empty();
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/agent_requests.cpp
+++ b/libs/placement/src/agent_requests.cpp
@@ -10,11 +10,11 @@
 // Number of requests sent to the endpoint beyond its slots. The endpoint serves requests in order
 // of arrival, and starts this one while the agent is still receiving the previous answer. A more
 // urgent request is delayed by no more than this one.
-constexpr std::uint32_t kAhead = 1;
+constexpr std::uint32_t kEndpointBacklog = 1;
 // A request that has waited for its answer for this multiple of the usual time, and at least this
 // long, no longer counts as occupying a slot: the endpoint may have dropped it or be stuck in it.
 constexpr int kStuckFactor = 10;
-constexpr base::Duration kStuckTime = std::chrono::milliseconds(500);
+constexpr base::Duration kStuckTimeout = std::chrono::milliseconds(500);
 // Transfer of a request with more data than this takes most of the time until its answer.
 constexpr std::uint32_t kLargeRequest = 4'800;  // bytes: four full packets
 
@@ -22,12 +22,12 @@
 
 // Returns whether the packet begins a request for which the endpoint has no free slot, or belongs
 // to a request that is already queued.
-bool AgentCore::MustWait(const FlowRecord& record, const FlowPacket& packet,
-                         const ForwardHeader& header) const {
-  const bool is_on = m_settings.queues_requests && !m_queue.Classes().IsEmpty();
+bool AgentCore::ShouldQueue(const FlowRecord& record, const FlowPacket& packet,
+                            const ForwardHeader& header) const {
+  const bool is_enabled = m_settings.queues_requests && !m_queue.Classes().IsEmpty();
   // A packet that searches for its flow's holder must not wait, because its balancer gets no result
   // meanwhile.
-  if (!is_on || packet.data_size == 0 || packet.is_reset || header.has_route) {
+  if (!is_enabled || packet.data_size == 0 || packet.is_reset || header.has_route) {
     return false;
   }
   if (record.state == FlowState::kQueued) {
@@ -74,23 +74,23 @@
 
 // Returns the number of requests that occupy the endpoint's slots and queue.
 std::uint32_t AgentCore::AtEndpoint() const {
-  const std::uint32_t aside = m_large + m_stuck;
-  return m_waiting > aside ? m_waiting - aside : 0;
+  const std::uint32_t excluded = m_large + m_stuck;
+  return m_waiting > excluded ? m_waiting - excluded : 0;
 }
 
 // Returns whether the endpoint may be sent one more request.
-bool AgentCore::HasRoom() const { return AtEndpoint() < Slots() + kAhead; }
+bool AgentCore::HasRoom() const { return AtEndpoint() < Slots() + kEndpointBacklog; }
 
 // Returns whether all queued requests are to be sent on without further delay, because the
 // endpoint's incarnation has changed, the endpoint is absent, or the agent is stopping.
-bool AgentCore::PassesAll(base::TimePoint now) const {
+bool AgentCore::MustReleaseAll(base::TimePoint now) const {
   return m_is_stopping || m_queued_for != m_gate.Newest().incarnation ||
          m_gate.Standing(now) == EndpointStanding::kAbsent;
 }
 
 QueueRelease AgentCore::TakeReleased(base::TimePoint now) {
   QueueRelease release;
-  if (m_queue.Size() > 0 && PassesAll(now)) {
+  if (m_queue.Size() > 0 && MustReleaseAll(now)) {
     release.passed = m_queue.TakeAll();
   }
   m_queued_for = m_gate.Newest().incarnation;
@@ -150,7 +150,8 @@
 }
 
 void AgentCore::NoteStuck(FlowRecord& record, base::TimePoint now) {
-  const base::Duration limit = std::max<base::Duration>(kStuckTime, m_answer_time * kStuckFactor);
+  const base::Duration limit =
+      std::max<base::Duration>(kStuckTimeout, m_answer_time * kStuckFactor);
   const bool is_over = record.state == FlowState::kWaiting && now - record.since > limit;
   if (is_over && !record.is_stuck && !record.is_large) {
     record.is_stuck = true;
--- a/libs/placement/src/configuration_replica.cpp
+++ b/libs/placement/src/configuration_replica.cpp
@@ -44,7 +44,7 @@
     return offer.version < version;
   });
   m_offers.insert(place, {agent, version});
-  m_offers.resize(std::min(m_offers.size(), kMostOffers));
+  m_offers.resize(std::min(m_offers.size(), kMaxOffers));
 }
 
 std::optional<base::SocketAddress> ConfigurationOffers::TakeBest(std::uint64_t in_force,
--- a/libs/placement/src/endpoint_chooser.cpp
+++ b/libs/placement/src/endpoint_chooser.cpp
@@ -8,7 +8,7 @@
 
 // Weight of the current number of requests in the load. The average number has the remaining
 // weight.
-constexpr double kPresentPart = 0.5;
+constexpr double kCurrentWeight = 0.5;
 // Weight of an open flow without a request, relative to a request, because it may send one at any
 // time.
 constexpr double kIdleFlowWeight = 0.05;
@@ -16,21 +16,21 @@
 constexpr double kColdFactor = 1.6;
 // An endpoint counts as slow if its answers take at least this multiple of the service's typical
 // time.
-constexpr double kSlowFrom = 1.3;
+constexpr double kSlowRatio = 1.3;
 // Weight of this balancer's recent openings, for a small preference for endpoints that it has used
 // less.
 constexpr double kShareWeight = 0.02;
 // Advantage of the balancer's own zone, relative to an endpoint's capacity.
 constexpr double kZoneMargin = 0.04;
-constexpr double kChanceMargin = 0.02;
+constexpr double kRandomMargin = 0.02;
 
-double SlownessOf(const KnownAgent& agent, base::Duration ordinary) {
-  if (ordinary.count() <= 0 || agent.report.load.answer_time.count() <= 0) {
+double SlowdownFactor(const KnownAgent& agent, base::Duration typical) {
+  if (typical.count() <= 0 || agent.report.load.answer_time.count() <= 0) {
     return 1;
   }
   const double ratio = static_cast<double>(agent.report.load.answer_time.count()) /
-                       static_cast<double>(ordinary.count());
-  return ratio > kSlowFrom ? ratio : 1;
+                       static_cast<double>(typical.count());
+  return ratio > kSlowRatio ? ratio : 1;
 }
 
 base::Duration MedianAnswerTime(std::span<KnownAgent* const> candidates) {
@@ -50,26 +50,26 @@
 
 }  // namespace
 
-double ExpectedLoad(const KnownAgent& agent, base::Duration ordinary_answer_time,
+double ExpectedLoad(const KnownAgent& agent, base::Duration typical_answer_time,
                     base::TimePoint now) {
   const EndpointLoad& load = agent.report.load;
-  const double present = load.busy * kPresentPart + load.busy_average * (1 - kPresentPart);
+  const double present = load.busy * kCurrentWeight + load.busy_average * (1 - kCurrentWeight);
   double requests = present + agent.placed_since_report + kIdleFlowWeight * load.open_flows + 1;
   if (load.warm_up_left > now - agent.heard_at) {
     requests *= kColdFactor;
   }
-  requests *= SlownessOf(agent, ordinary_answer_time);
+  requests *= SlowdownFactor(agent, typical_answer_time);
   return requests / std::max(1U, load.capacity) + kShareWeight * agent.placed_share;
 }
 
 KnownAgent* EndpointChooser::Choose(std::span<KnownAgent* const> candidates, base::TimePoint now) {
-  const base::Duration ordinary = MedianAnswerTime(candidates);
+  const base::Duration typical = MedianAnswerTime(candidates);
   KnownAgent* best = nullptr;
   double best_load = 0;
   for (KnownAgent* agent : candidates) {
-    const bool is_near = agent->report.zone == m_own_zone;
-    const double load = ExpectedLoad(*agent, ordinary, now) + (is_near ? 0 : kZoneMargin) +
-                        kChanceMargin * m_random.NextUnit();
+    const bool is_same_zone = agent->report.zone == m_own_zone;
+    const double load = ExpectedLoad(*agent, typical, now) + (is_same_zone ? 0 : kZoneMargin) +
+                        kRandomMargin * m_random.NextUnit();
     if (best == nullptr || load < best_load) {
       best = agent;
       best_load = load;
--- a/libs/placement/src/endpoint_gate.cpp
+++ b/libs/placement/src/endpoint_gate.cpp
@@ -10,12 +10,12 @@
 // millisecond; clients retransmit after 200 ms, and the copy then goes to another endpoint. A
 // single unanswered packet is enough: in a large fleet an agent sees an opening every two seconds,
 // and each further packet would delay another client.
-constexpr base::Duration kUnansweredTime = std::chrono::milliseconds(150);
+constexpr base::Duration kOpeningAnswerTimeout = std::chrono::milliseconds(150);
 // Announcements may be seconds late. After this many missed ones the endpoint counts as silent.
-constexpr int kMissedLimit = 6;
+constexpr int kMaxMissedAnnouncements = 6;
 // Number of ended incarnations that are remembered. Each incarnation lives for at least some
 // seconds.
-constexpr std::size_t kEndedLimit = 16;
+constexpr std::size_t kMaxEndedIncarnations = 16;
 // Interval between health checks of an endpoint that is unknown or doesn't answer.
 constexpr base::Duration kProbePeriod = std::chrono::milliseconds(1000);
 
@@ -61,7 +61,7 @@
 }
 
 // Returns whether an incarnation with a later start time is known.
-bool EndpointGate::IsEarlierLife(const EndpointIncarnation& incarnation) const {
+bool EndpointGate::IsEarlierIncarnation(const EndpointIncarnation& incarnation) const {
   const auto is_later = [&](const EndpointIncarnation& known) {
     return known.StartedAfter(incarnation);
   };
@@ -82,7 +82,7 @@
     return;
   }
   m_ended.push_back(incarnation);
-  if (m_ended.size() > kEndedLimit) {
+  if (m_ended.size() > kMaxEndedIncarnations) {
     m_ended.pop_front();
   }
 }
@@ -92,7 +92,7 @@
 
 // Returns whether the announced incarnation replaces the current one. If not, records it as a
 // possible successor.
-bool EndpointGate::GivesWayTo(const Announcement& announcement, base::TimePoint now) {
+bool EndpointGate::IsReplacedBy(const Announcement& announcement, base::TimePoint now) {
   const EndpointIncarnation& other = announcement.incarnation;
   if (other.StartedAfter(m_current.incarnation)) {
     NoteEnded(m_current.incarnation);
@@ -105,7 +105,7 @@
     return m_is_leaving || is_heard_again;
   }
   const bool may_have_gone = m_is_leaving || !m_is_repeated || m_is_absent || IsUnresponsive(now);
-  if (may_have_gone && !IsEarlierLife(other)) {
+  if (may_have_gone && !IsEarlierIncarnation(other)) {
     return true;
   }
   if (is_heard_again && now - m_successor_at > ConfirmationTime()) {
@@ -123,19 +123,19 @@
 
 AnnouncementOutcome EndpointGate::Announce(const Announcement& announcement, base::TimePoint now) {
   const bool is_same = IsPresent(announcement.incarnation);
-  const bool tells_start = announcement.incarnation.started_ms != 0;
-  const bool should_tell = m_current.incarnation.started_ms != 0;
-  if (is_same && should_tell && !tells_start) {
+  const bool has_start = announcement.incarnation.started_ms != 0;
+  const bool current_has_start = m_current.incarnation.started_ms != 0;
+  if (is_same && current_has_start && !has_start) {
     return AnnouncementOutcome::kIncomplete;
   }
   const bool is_older =
-      is_same && tells_start == should_tell && announcement.sequence < m_current.sequence;
-  const bool goes_on_leaving = is_same && announcement.is_draining;
-  if (is_older || (IsOver(announcement.incarnation) && !goes_on_leaving)) {
+      is_same && has_start == current_has_start && announcement.sequence < m_current.sequence;
+  const bool is_still_draining = is_same && announcement.is_draining;
+  if (is_older || (IsOver(announcement.incarnation) && !is_still_draining)) {
     return AnnouncementOutcome::kLate;
   }
-  const bool is_stranger = m_is_first_hand && !is_same;
-  if (is_stranger && !GivesWayTo(announcement, now)) {
+  const bool is_other_incarnation = m_is_first_hand && !is_same;
+  if (is_other_incarnation && !IsReplacedBy(announcement, now)) {
     if (announcement.is_draining) {
       NoteEnded(announcement.incarnation);  // it doesn't affect the current incarnation
     }
@@ -167,7 +167,7 @@
   m_unanswered_since.reset();
   m_is_absent = false;
   m_is_refused = false;
-  m_was_away = false;
+  m_was_unresponsive = false;
   m_successor = {};
   m_successor_sequence = 0;
 }
@@ -180,7 +180,7 @@
                               ended.StartedAfter(m_current.incarnation);
   const bool was_over = IsOver(ended) && !is_present;
   NoteEnded(ended);
-  if (!may_be_present || was_over || (!is_present && IsEarlierLife(ended))) {
+  if (!may_be_present || was_over || (!is_present && IsEarlierIncarnation(ended))) {
     return;
   }
   m_current.incarnation = EndpointIncarnation(ended);
@@ -195,12 +195,12 @@
                             base::TimePoint now) {
   const bool is_usable =
       standing == EndpointStanding::kAdmitting || standing == EndpointStanding::kLeaving;
-  const bool is_later_life = announcement.incarnation.StartedAfter(m_current.incarnation);
-  const bool is_earlier_life = m_current.incarnation.StartedAfter(announcement.incarnation);
-  const bool is_newer = !m_is_known || is_later_life ||
+  const bool is_later_incarnation = announcement.incarnation.StartedAfter(m_current.incarnation);
+  const bool is_earlier_incarnation = m_current.incarnation.StartedAfter(announcement.incarnation);
+  const bool is_newer = !m_is_known || is_later_incarnation ||
                         announcement.sequence > m_current.sequence ||
                         (!m_is_leaving && standing == EndpointStanding::kLeaving);
-  if (m_is_first_hand || !is_usable || !is_newer || is_earlier_life) {
+  if (m_is_first_hand || !is_usable || !is_newer || is_earlier_incarnation) {
     return;
   }
   m_current = announcement;
@@ -235,7 +235,7 @@
 }
 
 void EndpointGate::NoteActivity(bool holds_flow, base::TimePoint now) {
-  m_was_away = m_was_away || m_is_absent || IsUnresponsive(now);
+  m_was_unresponsive = m_was_unresponsive || m_is_absent || IsUnresponsive(now);
   m_unanswered_since.reset();
   m_is_absent = m_is_absent && !holds_flow;
 }
@@ -247,7 +247,7 @@
 }
 
 bool EndpointGate::IsUnresponsive(base::TimePoint now) const {
-  return m_unanswered_since && now - *m_unanswered_since > kUnansweredTime;
+  return m_unanswered_since && now - *m_unanswered_since > kOpeningAnswerTimeout;
 }
 
 EndpointStanding EndpointGate::Standing(base::TimePoint now) const {
@@ -268,12 +268,13 @@
   if (!m_is_repeated) {
     return EndpointStanding::kUnknown;
   }
-  const bool is_missed = now - m_heard_at > m_period * kMissedLimit;
+  const bool is_missed = now - m_heard_at > m_period * kMaxMissedAnnouncements;
   return is_missed ? EndpointStanding::kSilent : EndpointStanding::kAdmitting;
 }
 
 bool EndpointGate::MayBeCold(base::TimePoint now) const {
-  return !m_is_known || m_was_away || !m_successor.IsEmpty() || WarmUpLeft(now) > base::Duration(0);
+  return !m_is_known || m_was_unresponsive || !m_successor.IsEmpty() ||
+         WarmUpLeft(now) > base::Duration(0);
 }
 
 base::Duration EndpointGate::WarmUpLeft(base::TimePoint now) const {
--- a/libs/placement/src/load_notice.cpp
+++ b/libs/placement/src/load_notice.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kFlowsOffset = 8;
 constexpr std::size_t kAnswerOffset = 10;
 constexpr std::size_t kSequenceOffset = 14;
-constexpr std::size_t kLifeOffset = 18;
+constexpr std::size_t kIncarnationOffset = 18;
 constexpr std::size_t kQueuedOffset = 22;
 constexpr double kAverageUnit = 16;  // units per request
 
@@ -33,11 +33,11 @@
 }  // namespace
 
 bool LoadNotice::IsNewerThan(const AgentReport& report) const {
-  const bool is_same_life =
+  const bool is_same_incarnation =
       static_cast<std::uint32_t>(life.value()) == static_cast<std::uint32_t>(report.life.value());
   const auto ahead = static_cast<std::int32_t>(static_cast<std::uint32_t>(sequence) -
                                                static_cast<std::uint32_t>(report.sequence));
-  return is_same_life && ahead > 0;
+  return is_same_incarnation && ahead > 0;
 }
 
 LoadNotice MakeLoadNotice(const AgentReport& report) {
@@ -61,7 +61,7 @@
   WriteNumber(datagram, kFlowsOffset, ToField(notice.open_flows));
   WriteNumber(datagram, kAnswerOffset, static_cast<std::uint32_t>(answer));
   WriteNumber(datagram, kSequenceOffset, static_cast<std::uint32_t>(notice.sequence));
-  WriteNumber(datagram, kLifeOffset, static_cast<std::uint32_t>(notice.life.value()));
+  WriteNumber(datagram, kIncarnationOffset, static_cast<std::uint32_t>(notice.life.value()));
   constexpr std::uint32_t kLargest = std::numeric_limits<std::uint8_t>::max();
   for (std::size_t priority = 0; priority < kPriorityCount; ++priority) {
     bytes[kQueuedOffset + priority] =
@@ -72,7 +72,7 @@
 
 std::optional<LoadNotice> DecodeLoadNotice(std::span<const std::uint8_t> datagram) {
   const bool has_queued = datagram.size() == LoadNotice::kSize;
-  const bool is_notice = (has_queued || datagram.size() == LoadNotice::kOlderSize) &&
+  const bool is_notice = (has_queued || datagram.size() == LoadNotice::kSizeWithoutQueued) &&
                          datagram[0] == static_cast<std::uint8_t>(MessageKind::kLoad);
   if (!is_notice) {
     return std::nullopt;
@@ -83,7 +83,7 @@
   notice.open_flows = ReadNumber<std::uint16_t>(datagram, kFlowsOffset);
   notice.answer_time = base::Duration(ReadNumber<std::uint32_t>(datagram, kAnswerOffset));
   notice.sequence = ReadNumber<std::uint32_t>(datagram, kSequenceOffset);
-  notice.life = base::Incarnation(ReadNumber<std::uint32_t>(datagram, kLifeOffset));
+  notice.life = base::Incarnation(ReadNumber<std::uint32_t>(datagram, kIncarnationOffset));
   for (std::size_t priority = 0; has_queued && priority < kPriorityCount; ++priority) {
     notice.queued[priority] = datagram[kQueuedOffset + priority];
   }
--- a/libs/placement/src/outlier_detector.cpp
+++ b/libs/placement/src/outlier_detector.cpp
@@ -8,24 +8,24 @@
 
 // Number of consecutive failures that eject an endpoint. A service that works resets no flow, so
 // few failures are strong evidence.
-constexpr unsigned kFailuresInRow = 3;
+constexpr unsigned kConsecutiveFailures = 3;
 // Number of outcomes in the window, and of failures among them that eject an endpoint that fails
 // only some requests. An endpoint that fails 40 % is ejected after some 15 requests, one that fails
 // 5 % once in 10,000 requests.
 constexpr unsigned kWindow = 8;
 constexpr int kFailuresInWindow = 4;
 constexpr std::uint32_t kWindowMask = (1U << kWindow) - 1;
-constexpr std::uint32_t kRowMask = (1U << kFailuresInRow) - 1;
+constexpr std::uint32_t kConsecutiveMask = (1U << kConsecutiveFailures) - 1;
 // Consecutive successful trials required for readmission.
-constexpr unsigned kTrialsToPass = 3;
+constexpr unsigned kRequiredTrials = 3;
 // A trial without an outcome for this long is abandoned, and another one is allowed.
-constexpr base::Duration kTrialLimit = std::chrono::seconds(2);
+constexpr base::Duration kTrialTimeout = std::chrono::seconds(2);
 // Pause before the first trial, and its maximum. It doubles after each failed trial and each
 // relapse. Faults of endpoints last seconds.
-constexpr base::Duration kFirstPause = std::chrono::milliseconds(500);
-constexpr base::Duration kLongestPause = std::chrono::seconds(8);
+constexpr base::Duration kInitialTrialPause = std::chrono::milliseconds(500);
+constexpr base::Duration kMaxTrialPause = std::chrono::seconds(8);
 // An endpoint that has served for this long since its readmission has recovered.
-constexpr base::Duration kRecovered = std::chrono::seconds(30);
+constexpr base::Duration kRecoveryTime = std::chrono::seconds(30);
 
 }  // namespace
 
@@ -34,8 +34,9 @@
   m_outcomes = std::min(m_outcomes + 1, kWindow);
 }
 
-bool OutlierDetector::LooksBad() const {
-  const bool in_row = m_outcomes >= kFailuresInRow && (m_failures & kRowMask) == kRowMask;
+bool OutlierDetector::IsOutlier() const {
+  const bool in_row =
+      m_outcomes >= kConsecutiveFailures && (m_failures & kConsecutiveMask) == kConsecutiveMask;
   return in_row || std::popcount(m_failures) >= kFailuresInWindow;
 }
 
@@ -50,16 +51,16 @@
   }
   m_trial_at.reset();
   ++m_trials_passed;
-  if (m_trials_passed >= kTrialsToPass) {
+  if (m_trials_passed >= kRequiredTrials) {
     Admit(now);
   }
 }
 
 void OutlierDetector::NoteFailure(base::TimePoint now) {
-  ++m_all_failures;
+  ++m_total_failures;
   if (!m_ejected_at) {
     Note(true);
-    if (LooksBad()) {
+    if (IsOutlier()) {
       Eject(now);
     }
     return;
@@ -67,14 +68,14 @@
   if (m_trial_at) {
     m_trial_at.reset();
     m_trials_passed = 0;
-    m_pause = std::min(2 * m_pause, kLongestPause);
+    m_pause = std::min(2 * m_pause, kMaxTrialPause);
     m_next_trial_at = now + m_pause;
   }
 }
 
 void OutlierDetector::Eject(base::TimePoint now) {
-  const bool is_relapse = m_ejections > 0 && now - m_admitted_at < kRecovered;
-  m_pause = is_relapse ? std::min(2 * m_pause, kLongestPause) : kFirstPause;
+  const bool is_relapse = m_ejections > 0 && now - m_admitted_at < kRecoveryTime;
+  m_pause = is_relapse ? std::min(2 * m_pause, kMaxTrialPause) : kInitialTrialPause;
   ++m_ejections;
   m_ejected_at = now;
   m_next_trial_at = now + m_pause;
@@ -93,7 +94,7 @@
   if (!m_ejected_at) {
     return true;
   }
-  const bool is_trial_open = m_trial_at && now - *m_trial_at < kTrialLimit;
+  const bool is_trial_open = m_trial_at && now - *m_trial_at < kTrialTimeout;
   if (is_trial_open || now < m_next_trial_at) {
     return false;
   }
--- a/libs/placement/src/peer_agent_list.cpp
+++ b/libs/placement/src/peer_agent_list.cpp
@@ -8,13 +8,13 @@
 // An agent that was not among this many named agents has gone. If the deployment has as many agents
 // as the list has entries, one in fifty is omitted wrongly. In larger deployments such an agent has
 // already been replaced in the list.
-constexpr std::uint64_t kForgetAfterNames = 256;
+constexpr std::uint64_t kMaxNamingAge = 256;
 
 }  // namespace
 
 void PeerAgentList::Take(std::span<const ListedAgent> agents) {
   for (const ListedAgent& agent : agents) {
-    ++m_names;
+    ++m_naming_count;
     TakeOne(agent);
   }
 }
@@ -29,19 +29,19 @@
   if (place == m_entries.end() && m_entries.size() >= kLimit) {
     place = std::min_element(
         m_entries.begin(), m_entries.end(),
-        [](const Entry& left, const Entry& right) { return left.name < right.name; });
+        [](const Entry& left, const Entry& right) { return left.last_naming < right.last_naming; });
   }
   if (place == m_entries.end()) {
-    m_entries.push_back({agent, m_names});
+    m_entries.push_back({agent, m_naming_count});
   } else {
-    *place = {agent, m_names};
+    *place = {agent, m_naming_count};
   }
 }
 
 std::vector<ListedAgent> PeerAgentList::List() const {
   std::vector<ListedAgent> listed;
   for (const Entry& entry : m_entries) {
-    if (m_names - entry.name <= kForgetAfterNames) {
+    if (m_naming_count - entry.last_naming <= kMaxNamingAge) {
       listed.push_back(entry.agent);
     }
   }
--- a/libs/placement/src/request_queue.cpp
+++ b/libs/placement/src/request_queue.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A request is expected to meet its target if at least this many usual answer times are left.
-constexpr int kSpread = 2;
+constexpr int kAnswerTimeMargin = 2;
 
 }  // namespace
 
@@ -18,11 +18,11 @@
   const auto known = static_cast<std::uint8_t>(std::min<std::size_t>(priority, kPriorityCount - 1));
   std::optional<FlowKey> displaced;
   if (m_waiting.size() >= kLimit) {
-    const std::size_t least = LeastUrgent();
-    if (m_waiting[least].priority <= known) {
+    const std::size_t least_urgent = LeastUrgent();
+    if (m_waiting[least_urgent].priority <= known) {
       return flow;
     }
-    displaced = TakeAt(least);
+    displaced = TakeAt(least_urgent);
   }
   m_waiting.push_back({flow, known, now});
   ++m_counts[known];
@@ -32,20 +32,23 @@
 // Returns the index of the oldest request of the least urgent priority. The queue must not be
 // empty.
 std::size_t RequestQueue::LeastUrgent() const {
-  const auto least = std::max_element(
-      m_waiting.begin(), m_waiting.end(),
-      [](const Waiting& left, const Waiting& right) { return left.priority < right.priority; });
-  return static_cast<std::size_t>(least - m_waiting.begin());
+  const auto least_urgent =
+      std::max_element(m_waiting.begin(), m_waiting.end(),
+                       [](const WaitingRequest& left, const WaitingRequest& right) {
+                         return left.priority < right.priority;
+                       });
+  return static_cast<std::size_t>(least_urgent - m_waiting.begin());
 }
 
 bool RequestQueue::Has(const FlowKey& flow) const {
   return std::any_of(m_waiting.begin(), m_waiting.end(),
-                     [&](const Waiting& request) { return request.flow == flow; });
+                     [&](const WaitingRequest& request) { return request.flow == flow; });
 }
 
 bool RequestQueue::Remove(const FlowKey& flow) {
-  const auto found = std::find_if(m_waiting.begin(), m_waiting.end(),
-                                  [&](const Waiting& request) { return request.flow == flow; });
+  const auto found =
+      std::find_if(m_waiting.begin(), m_waiting.end(),
+                   [&](const WaitingRequest& request) { return request.flow == flow; });
   if (found == m_waiting.end()) {
     return false;
   }
@@ -54,7 +57,7 @@
 }
 
 FlowKey RequestQueue::TakeAt(std::size_t index) {
-  const Waiting request = m_waiting[index];
+  const WaitingRequest request = m_waiting[index];
   --m_counts[request.priority];
   m_waiting.erase(m_waiting.begin() + static_cast<std::ptrdiff_t>(index));
   return request.flow;
@@ -63,51 +66,54 @@
 // Returns whether the request meets its target if its answer arrives after `wait`. The caller
 // doubles the usual answer time in `wait` to cover its spread and the network latency, which are
 // unknown here.
-bool RequestQueue::CanBeInTime(const Waiting& request, base::Duration wait,
-                               base::TimePoint now) const {
+bool RequestQueue::CanMeetTarget(const WaitingRequest& request, base::Duration wait,
+                                 base::TimePoint now) const {
   const base::Duration target = m_classes.Of(request.priority).target_latency;
   return target.count() == 0 || now - request.since + wait <= target;
 }
 
-std::size_t RequestQueue::NextOf(std::uint8_t priority, const EndpointServiceRate& pace,
+std::size_t RequestQueue::NextOf(std::uint8_t priority, const EndpointServiceRate& rate,
                                  base::TimePoint now) const {
-  const base::Duration answer = pace.answer_time * kSpread;
+  const base::Duration answer_margin = rate.answer_time * kAnswerTimeMargin;
   std::vector<std::size_t> all;
-  std::vector<std::size_t> timely;
+  std::vector<std::size_t> can_meet;
   for (std::size_t index = 0; index < m_waiting.size(); ++index) {
     if (m_waiting[index].priority == priority) {
       all.push_back(index);
-      if (CanBeInTime(m_waiting[index], answer, now)) {
-        timely.push_back(index);
+      if (CanMeetTarget(m_waiting[index], answer_margin, now)) {
+        can_meet.push_back(index);
       }
     }
   }
-  if (timely.empty()) {
+  if (can_meet.empty()) {
     return all.front();
   }
-  const base::Duration behind_the_others =
-      pace.answer_time * static_cast<std::int64_t>(timely.size() - 1) / std::max(1U, pace.slots);
-  const bool all_can = CanBeInTime(m_waiting[timely.back()], answer + behind_the_others, now);
-  return all_can ? timely.front() : timely.back();
+  const base::Duration queue_wait =
+      rate.answer_time * static_cast<std::int64_t>(can_meet.size() - 1) / std::max(1U, rate.slots);
+  const bool all_can = CanMeetTarget(m_waiting[can_meet.back()], answer_margin + queue_wait, now);
+  return all_can ? can_meet.front() : can_meet.back();
 }
 
-std::optional<FlowKey> RequestQueue::TakeNext(const EndpointServiceRate& pace,
+std::optional<FlowKey> RequestQueue::TakeNext(const EndpointServiceRate& rate,
                                               base::TimePoint now) {
   if (m_waiting.empty()) {
     return std::nullopt;
   }
   ++m_taken;
-  const auto most = std::min_element(
-      m_waiting.begin(), m_waiting.end(),
-      [](const Waiting& left, const Waiting& right) { return left.priority < right.priority; });
-  const bool is_share = m_taken % kShare == 0;
-  const std::uint8_t priority = is_share ? m_waiting[LeastUrgent()].priority : most->priority;
-  return TakeAt(NextOf(priority, pace, now));
+  const auto most_urgent =
+      std::min_element(m_waiting.begin(), m_waiting.end(),
+                       [](const WaitingRequest& left, const WaitingRequest& right) {
+                         return left.priority < right.priority;
+                       });
+  const bool is_least_urgent_turn = m_taken % kLeastUrgentInterval == 0;
+  const std::uint8_t priority =
+      is_least_urgent_turn ? m_waiting[LeastUrgent()].priority : most_urgent->priority;
+  return TakeAt(NextOf(priority, rate, now));
 }
 
 std::vector<FlowKey> RequestQueue::TakeExpired(base::TimePoint now) {
   std::vector<FlowKey> expired;
-  for (const Waiting& request : m_waiting) {
+  for (const WaitingRequest& request : m_waiting) {
     const base::Duration limit = m_classes.Of(request.priority).time_limit;
     if (limit.count() > 0 && now - request.since > limit) {
       expired.push_back(request.flow);
@@ -121,7 +127,7 @@
 
 std::vector<FlowKey> RequestQueue::TakeAll() {
   std::vector<FlowKey> flows;
-  for (const Waiting& request : m_waiting) {
+  for (const WaitingRequest& request : m_waiting) {
     flows.push_back(request.flow);
   }
   m_waiting.clear();
--- a/libs/placement/src/stored_listing.cpp
+++ b/libs/placement/src/stored_listing.cpp
@@ -7,7 +7,7 @@
 
 // A listing that contains only a part of the agents is rewritten when their number has changed by
 // more than one in this many.
-constexpr std::size_t kLargestChange = 20;
+constexpr std::size_t kCountChangeDivisor = 20;
 
 }  // namespace
 
@@ -24,14 +24,14 @@
   m_agent_count = 0;
 }
 
-bool StoredListing::IsNumberOutdated(std::size_t agent_count) const {
+bool StoredListing::IsCountOutdated(std::size_t agent_count) const {
   const bool has_room = m_named.size() < kMaxAgents;
   if (has_room) {
     return agent_count != m_named.size();
   }
   const std::size_t change =
       std::max(agent_count, m_agent_count) - std::min(agent_count, m_agent_count);
-  return change * kLargestChange > m_agent_count;
+  return change * kCountChangeDivisor > m_agent_count;
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/warm_up_limiter.cpp
+++ b/libs/placement/src/warm_up_limiter.cpp
@@ -7,10 +7,10 @@
 
 // Length of the counting window, and the variation of the delay to the endpoint from packet to
 // packet, over loopback on a busy machine.
-constexpr base::Duration kSpan = std::chrono::milliseconds(1000);
+constexpr base::Duration kCountingPeriod = std::chrono::milliseconds(1000);
 constexpr base::Duration kJitter = std::chrono::milliseconds(50);
 // Limit of the openings remembered. No cold endpoint is given as many in a second.
-constexpr std::size_t kMostOpenings = 4096;
+constexpr std::size_t kMaxOpenings = 4096;
 
 }  // namespace
 
@@ -23,8 +23,8 @@
   return static_cast<std::size_t>(std::floor(rate * m_tolerance->overshoot + m_tolerance->slack));
 }
 
-void WarmUpLimiter::ForgetOld(base::TimePoint now) {
-  while (!m_openings.empty() && now - m_openings.front() > kSpan + kJitter) {
+void WarmUpLimiter::DropExpired(base::TimePoint now) {
+  while (!m_openings.empty() && now - m_openings.front() > kCountingPeriod + kJitter) {
     m_openings.pop_front();
   }
 }
@@ -34,16 +34,16 @@
   if (!limit) {
     return true;
   }
-  ForgetOld(now);
+  DropExpired(now);
   Begin(now);
-  const bool is_first_second = now - *m_begun_at <= kSpan + kJitter;
+  const bool is_first_second = now - *m_begun_at <= kCountingPeriod + kJitter;
   return !is_first_second && m_openings.size() < *limit;
 }
 
 void WarmUpLimiter::Note(base::TimePoint now) {
   Begin(now);
-  ForgetOld(now);
-  if (m_openings.size() < kMostOpenings) {
+  DropExpired(now);
+  if (m_openings.size() < kMaxOpenings) {
     m_openings.push_back(now);
   }
 }
--- a/libs/placement/tests/agent_core_test.cpp
+++ b/libs/placement/tests/agent_core_test.cpp
@@ -43,19 +43,19 @@
   CPPUNIT_TEST(CopiesOfAnOpeningAreDeliveredAlsoWhenFull);
   CPPUNIT_TEST(ABouncedPacketGoesBackToItsBalancer);
   CPPUNIT_TEST(AnUnknownMarkIsDropped);
-  CPPUNIT_TEST(TheSearcherIsToldByAPacketOfTheOpenFlow);
+  CPPUNIT_TEST(ThePacketOfAnOpenFlowNotifiesTheSearchingBalancer);
   CPPUNIT_TEST(APacketOfASearchGoesOnToTheNextAgent);
   CPPUNIT_TEST(TheLastAgentOfASearchReturnsThePacketToItsBalancer);
   CPPUNIT_TEST(AnAbsentEndpointsAgentPassesASearchOn);
   CPPUNIT_TEST(RequestsCountUntilTheirAnswerBegins);
   CPPUNIT_TEST(ARepeatedRequestPacketCountsOnce);
   CPPUNIT_TEST(OpeningsCountForAWhile);
-  CPPUNIT_TEST(AnAgentThatStopsSaysSo);
+  CPPUNIT_TEST(AStoppingAgentReportsIt);
   CPPUNIT_TEST(AnAgentThatStopsBesideAnAbsentEndpointHoldsNothing);
   CPPUNIT_TEST(AnAbsentEndpointHoldsNothing);
-  CPPUNIT_TEST(AColdEndpointGetsNoMoreThanItBears);
+  CPPUNIT_TEST(AColdEndpointGetsNoMoreThanItsLimit);
   CPPUNIT_TEST(AWarmEndpointHasNoBound);
-  CPPUNIT_TEST(AnEndpointTakenBackMayBeCold);
+  CPPUNIT_TEST(AnEndpointMayBeColdAfterAnEvacuation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -134,7 +134,7 @@
     CPPUNIT_ASSERT(m_core.OnEndpointPacket(bounced, 0x12345, m_now).verdict == AgentVerdict::kDrop);
   }
 
-  void TheSearcherIsToldByAPacketOfTheOpenFlow() {
+  void ThePacketOfAnOpenFlowNotifiesTheSearchingBalancer() {
     Announce();
     m_header.is_search = true;
     Forward(Data(Flow(1), 101));
@@ -206,7 +206,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, Busy());
   }
 
-  void AnAgentThatStopsSaysSo() {
+  void AStoppingAgentReportsIt() {
     Announce();
     m_core.Stop();
     CPPUNIT_ASSERT(m_core.Standing(m_now) == EndpointStanding::kStopping);
@@ -238,7 +238,7 @@
   }
 
   // The limit also applies to openings that must be accepted. Retransmitted openings count once.
-  void AColdEndpointGetsNoMoreThanItBears() {
+  void AColdEndpointGetsNoMoreThanItsLimit() {
     MakeBounded();
     m_core.Gate().Announce({{"a"}, false, 100, milliseconds(4000), 1}, m_now);
     m_now += milliseconds(1000);
@@ -265,7 +265,7 @@
     }
   }
 
-  void AnEndpointTakenBackMayBeCold() {
+  void AnEndpointMayBeColdAfterAnEvacuation() {
     MakeBounded();
     m_core.Gate().Announce({{"a"}, false, 100, milliseconds(0), 1}, m_now);
     m_core.TakeEvacuated({1, {"east"}}, m_now);
--- a/libs/placement/tests/agent_discovery_test.cpp
+++ b/libs/placement/tests/agent_discovery_test.cpp
@@ -30,20 +30,20 @@
   CPPUNIT_TEST(AnAgentGivenUpIsAskedAgainLater);
   CPPUNIT_TEST(AllAreFoundOnceHeardOrGivenUp);
   CPPUNIT_TEST(NearlyAllAreEnough);
-  CPPUNIT_TEST(MoreAgentsAreAskedForFellowsWhileSomeAreMissing);
+  CPPUNIT_TEST(MorePeerListsAreRequestedWhileAgentsAreMissing);
   CPPUNIT_TEST(AFlowIsNotResetWhileAgentsAreMissing);
   CPPUNIT_TEST(AFlowThatNobodyHoldsIsResetOnceAllAreFound);
   CPPUNIT_TEST(AgentsWithoutEndpointsAreFoundAsWell);
-  CPPUNIT_TEST(MissingAgentsAreNotWaitedForForEver);
-  CPPUNIT_TEST(NamedAgentsThatDoNotAnswerAreWaitedForForAShortTime);
+  CPPUNIT_TEST(TheWaitForMissingAgentsIsBounded);
+  CPPUNIT_TEST(TheWaitForSilentNamedAgentsIsShort);
   CPPUNIT_TEST(AnAgentThatHasEndedIsNotNamedToOthers);
   CPPUNIT_TEST(AnOpeningIsNotResetForWantOfEndpointsWhileAgentsAreMissing);
   CPPUNIT_TEST(OpeningsGoToNamedAgentsBeforeTheyAreHeard);
   CPPUNIT_TEST(AnAgentThatWasNamedIsNoCandidateOnceAllAreFound);
-  CPPUNIT_TEST(AYoungBalancerAsksTheFirstAgentsForFellows);
-  CPPUNIT_TEST(FellowsAreAskedForReports);
-  CPPUNIT_TEST(FellowsAreAskedForAgainWhileSomeHaveNoName);
-  CPPUNIT_TEST(TheCountOfABalancerThatLearnsIsNotBelieved);
+  CPPUNIT_TEST(ANewBalancerAsksTheFirstAgentsForPeers);
+  CPPUNIT_TEST(ListedPeersAreAskedForReports);
+  CPPUNIT_TEST(PeerListsAreRequestedWhileAgentsAreUnnamed);
+  CPPUNIT_TEST(TheCountOfALearningBalancerIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -119,7 +119,7 @@
     CPPUNIT_ASSERT(!m_discovery.IsComplete(190));
   }
 
-  void MoreAgentsAreAskedForFellowsWhileSomeAreMissing() {
+  void MorePeerListsAreRequestedWhileAgentsAreMissing() {
     for (int heard = 1; heard <= 4; ++heard) {
       CPPUNIT_ASSERT(m_discovery.TakePeerListQuery(heard));
     }
@@ -152,13 +152,13 @@
     CPPUNIT_ASSERT(!m_core->IsLearning(At(800)));
   }
 
-  void MissingAgentsAreNotWaitedForForEver() {
+  void TheWaitForMissingAgentsIsBounded() {
     HearAgent(2, kAgents);
     CPPUNIT_ASSERT(BalancerVerdict::kReset == VerdictOnUnknownFlow(2'100));
   }
 
   // Named agents may have gone, for example after a full restart during replacements.
-  void NamedAgentsThatDoNotAnswerAreWaitedForForAShortTime() {
+  void TheWaitForSilentNamedAgentsIsShort() {
     HearAgent(2, 3);
     for (const std::uint32_t number : {3U, 4U}) {
       m_core->NoteListed({Node(number), testing::orders_service}, At(100));
@@ -210,7 +210,7 @@
     }
   }
 
-  void AYoungBalancerAsksTheFirstAgentsForFellows() {
+  void ANewBalancerAsksTheFirstAgentsForPeers() {
     HearAgent(2, kAgents);
     const OutgoingGreeting welcome =
         m_gossip->WelcomeAgent(*m_core->Agents().Find(Node(2)), At(10));
@@ -218,28 +218,28 @@
     CPPUNIT_ASSERT(welcome.greeting.is_learning);
   }
 
-  void FellowsAreAskedForReports() {
+  void ListedPeersAreAskedForReports() {
     HearAgent(2, 3);
     const std::vector<ListedAgent> fellows = {{Node(2), testing::orders_service},
                                               {Node(3), testing::orders_service},
                                               {Node(4), testing::drawings_service}};
-    const std::vector<OutgoingGreeting> questions = m_gossip->OnFellows(fellows, At(10));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, questions.size());  // the third agent has been heard
-    for (const OutgoingGreeting& question : questions) {
-      CPPUNIT_ASSERT(question.greeting.wants_answer);
+    const std::vector<OutgoingGreeting> queries = m_gossip->OnFellows(fellows, At(10));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, queries.size());  // the third agent has been heard
+    for (const OutgoingGreeting& query : queries) {
+      CPPUNIT_ASSERT(query.greeting.wants_answer);
     }
   }
 
-  void FellowsAreAskedForAgainWhileSomeHaveNoName() {
+  void PeerListsAreRequestedWhileAgentsAreUnnamed() {
     HearAgent(2, kAgents);
-    const std::vector<OutgoingGreeting> questions = m_gossip->Tick(At(250));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.size());
-    CPPUNIT_ASSERT(questions.front().receiver == Node(2));
-    CPPUNIT_ASSERT(questions.front().greeting.wants_fellows);
+    const std::vector<OutgoingGreeting> queries = m_gossip->Tick(At(250));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queries.size());
+    CPPUNIT_ASSERT(queries.front().receiver == Node(2));
+    CPPUNIT_ASSERT(queries.front().greeting.wants_fellows);
     CPPUNIT_ASSERT(m_gossip->Tick(At(2'500)).empty());  // the remaining agents have been given up
   }
 
-  void TheCountOfABalancerThatLearnsIsNotBelieved() {
+  void TheCountOfALearningBalancerIsIgnored() {
     BalancerGreeting greeting;
     greeting.agent_count = kAgents;
     greeting.is_learning = true;
--- a/libs/placement/tests/agent_queries_test.cpp
+++ b/libs/placement/tests/agent_queries_test.cpp
@@ -23,21 +23,21 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr std::int64_t kLearned = 5000;          // ms; the balancer has discovered all agents
-constexpr std::uint32_t kAgents = 30;            // Node(1) to Node(30)
-constexpr std::uint32_t kFirstDead = 21;         // Node(21) to Node(30) have lost power
-constexpr std::uint32_t kReportsSeldom = 4'000;  // ms
+constexpr std::int64_t kLearned = 5000;               // ms; the balancer has discovered all agents
+constexpr std::uint32_t kAgents = 30;                 // Node(1) to Node(30)
+constexpr std::uint32_t kFirstDead = 21;              // Node(21) to Node(30) have lost power
+constexpr std::uint32_t kLongReportPeriodMs = 4'000;  // ms
 
 class AgentQueriesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AgentQueriesTest);
-  CPPUNIT_TEST(AnAgentIsAskedAFewTimesAndThenSeldom);
-  CPPUNIT_TEST(AnAnswerEndsTheQuestions);
+  CPPUNIT_TEST(AnAgentIsQueriedAFewTimesAndThenRarely);
+  CPPUNIT_TEST(AnAnswerEndsTheQueries);
   CPPUNIT_TEST(AnAnswerIsOverdueAfterAWhile);
   CPPUNIT_TEST(GoneAgentsAreForgotten);
   CPPUNIT_TEST(ALostSearchAsksTheAgentsOnItsWay);
   CPPUNIT_TEST(ASearchFindsItsHolderThoughAThirdOfTheAgentsDied);
   CPPUNIT_TEST(AfterALostSearchThoseHeardSinceComeFirst);
-  CPPUNIT_TEST(ASearchThatEndsAtOneAgentIsLostAsWell);
+  CPPUNIT_TEST(ALostSearchOfOneAgentIsNoticed);
   CPPUNIT_TEST(ACopyOfAPacketAsksItsAgent);
   CPPUNIT_TEST(ACopyDoesNotAskAnAgentThatWasJustHeard);
   CPPUNIT_TEST(AFlowWhoseAgentAnswersNothingIsReset);
@@ -55,46 +55,46 @@
     m_core->Tick(m_now);
   }
 
-  void AnAgentIsAskedAFewTimesAndThenSeldom() {
-    AgentQueries questions(4);
-    CPPUNIT_ASSERT(questions.Ask(Node(1), At(0)));
-    CPPUNIT_ASSERT(!questions.Ask(Node(1), At(10)));
+  void AnAgentIsQueriedAFewTimesAndThenRarely() {
+    AgentQueries queries(4);
+    CPPUNIT_ASSERT(queries.Ask(Node(1), At(0)));
+    CPPUNIT_ASSERT(!queries.Ask(Node(1), At(10)));
     for (int time = 250; time <= 750; time += 250) {
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.TakeDue(At(time)).size());
-      CPPUNIT_ASSERT(!questions.IsGivenUp(Node(1)));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queries.TakeDue(At(time)).size());
+      CPPUNIT_ASSERT(!queries.IsGivenUp(Node(1)));
     }
-    questions.TakeDue(At(1'000));
-    CPPUNIT_ASSERT(questions.IsGivenUp(Node(1)));
-    CPPUNIT_ASSERT(questions.TakeDue(At(1'900)).empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.TakeDue(At(2'000)).size());
+    queries.TakeDue(At(1'000));
+    CPPUNIT_ASSERT(queries.IsGivenUp(Node(1)));
+    CPPUNIT_ASSERT(queries.TakeDue(At(1'900)).empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queries.TakeDue(At(2'000)).size());
   }
 
-  void AnAnswerEndsTheQuestions() {
-    AgentQueries questions(1);
-    questions.Ask(Node(1), At(0));
-    questions.TakeDue(At(250));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.GivenUpCount());
-    questions.NoteHeard(Node(1));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, questions.GivenUpCount());
-    CPPUNIT_ASSERT(questions.TakeDue(At(5'000)).empty());
+  void AnAnswerEndsTheQueries() {
+    AgentQueries queries(1);
+    queries.Ask(Node(1), At(0));
+    queries.TakeDue(At(250));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queries.GivenUpCount());
+    queries.NoteHeard(Node(1));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, queries.GivenUpCount());
+    CPPUNIT_ASSERT(queries.TakeDue(At(5'000)).empty());
   }
 
   void AnAnswerIsOverdueAfterAWhile() {
-    AgentQueries questions(4);
-    CPPUNIT_ASSERT(!questions.IsOverdue(Node(1), At(500)));
-    questions.Ask(Node(1), At(0));
-    CPPUNIT_ASSERT(!questions.IsOverdue(Node(1), At(100)));
-    CPPUNIT_ASSERT(questions.IsOverdue(Node(1), At(101)));
+    AgentQueries queries(4);
+    CPPUNIT_ASSERT(!queries.IsOverdue(Node(1), At(500)));
+    queries.Ask(Node(1), At(0));
+    CPPUNIT_ASSERT(!queries.IsOverdue(Node(1), At(100)));
+    CPPUNIT_ASSERT(queries.IsOverdue(Node(1), At(101)));
   }
 
   void GoneAgentsAreForgotten() {
-    AgentQueries questions(1);
-    questions.Ask(Node(1), At(0));
-    questions.Ask(Node(2), At(0));
-    questions.TakeDue(At(250));
-    questions.Forget([](const base::SocketAddress& agent) { return agent == Node(1); });
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.Count());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.GivenUpCount());
+    AgentQueries queries(1);
+    queries.Ask(Node(1), At(0));
+    queries.Ask(Node(2), At(0));
+    queries.TakeDue(At(250));
+    queries.Forget([](const base::SocketAddress& agent) { return agent == Node(1); });
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queries.Count());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queries.GivenUpCount());
   }
 
   void ALostSearchAsksTheAgentsOnItsWay() {
@@ -117,7 +117,7 @@
       int sent = 1;
       while (!ReachesHolder(Send(Data(Flow(port), 101)))) {
         ++sent;
-        AnswerQuestions();
+        AnswerQueries();
         Pass(sent == 2 ? 200 : 400);
       }
       CPPUNIT_ASSERT(sent <= 3);
@@ -135,7 +135,7 @@
 
   // An agent that announced its stop is the last of a search and queried on its own. Packets
   // without data are not retransmitted, so no retransmission can reveal the loss.
-  void ASearchThatEndsAtOneAgentIsLostAsWell() {
+  void ALostSearchOfOneAgentIsNoticed() {
     Hear(1);
     AgentReport farewell = Report(++m_sequence, 0, EndpointStanding::kStopping);
     m_core->OnReport(Node(kFirstDead), farewell, m_now);
@@ -153,7 +153,7 @@
     CPPUNIT_ASSERT(m_core->TakeSuspects(m_now) == std::vector{Node(kFirstDead)});
     for (int time = 0; time <= 2'500; time += 50) {
       Pass(50);
-      AnswerQuestions();
+      AnswerQueries();
     }
     Hear(1);
     CPPUNIT_ASSERT(Send(closing).verdict == BalancerVerdict::kReset);
@@ -189,12 +189,12 @@
     Pass(200);
     Send(Data(Flow(1), 101));
     for (int time = 0; time < 1'900; time += 50) {
-      AnswerQuestions();
+      AnswerQueries();
       Pass(50);
       CPPUNIT_ASSERT_EQUAL(Node(kFirstDead), Send(Data(Flow(1), 101)).agent);
     }
     for (int time = 0; time < 200; time += 50) {
-      AnswerQuestions();
+      AnswerQueries();
       Pass(50);
     }
     CPPUNIT_ASSERT(Send(Data(Flow(1), 101)).agent != Node(kFirstDead));
@@ -206,7 +206,7 @@
     for (int time = 0; time < 6'000; time += 200) {
       Pass(200);
       CPPUNIT_ASSERT_EQUAL(Node(3), Send(Data(Flow(1), 101)).agent);
-      AnswerQuestions();
+      AnswerQueries();
     }
   }
 
@@ -256,7 +256,7 @@
  private:
   void Hear(std::uint32_t number) {
     AgentReport report = Report(++m_sequence);
-    report.period = milliseconds(kReportsSeldom);
+    report.period = milliseconds(kLongReportPeriodMs);
     m_core->OnReport(Node(number), report, m_now);
   }
 
@@ -271,7 +271,7 @@
     m_core->Tick(m_now);
   }
 
-  void AnswerQuestions() {
+  void AnswerQueries() {
     for (const base::SocketAddress& agent : m_core->TakeSuspects(m_now)) {
       for (std::uint32_t number = 1; number < kFirstDead; ++number) {
         if (agent == Node(number)) {
--- a/libs/placement/tests/agent_reporter_test.cpp
+++ b/libs/placement/tests/agent_reporter_test.cpp
@@ -16,13 +16,13 @@
   CPPUNIT_TEST_SUITE(AgentReporterTest);
   CPPUNIT_TEST(ANewBalancerIsAnswered);
   CPPUNIT_TEST(AKnownBalancerIsAnsweredWhenItAsks);
-  CPPUNIT_TEST(BalancersThatAreNamedAreTold);
-  CPPUNIT_TEST(FellowsAreNamedToWhoAsksForThem);
+  CPPUNIT_TEST(NamedBalancersGetAReport);
+  CPPUNIT_TEST(PeersAreListedOnRequest);
   CPPUNIT_TEST(TheNumberOfAgentsOutlivesTheBalancers);
-  CPPUNIT_TEST(ManyQuestionsAtOnceAreNotAllAnswered);
-  CPPUNIT_TEST(NewsGoToAllBalancers);
+  CPPUNIT_TEST(AnswersAreRateLimited);
+  CPPUNIT_TEST(UrgentReportsGoToAllBalancers);
   CPPUNIT_TEST(ABalancerThatStartsAgainHearsTheAgentInItsRound);
-  CPPUNIT_TEST(AnAgentThatNobodyGreetsIsAlone);
+  CPPUNIT_TEST(AnAgentWithoutGreetingsHasNoBalancer);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -41,18 +41,18 @@
     CPPUNIT_ASSERT(answers.front().report.fellows.empty());
   }
 
-  void BalancersThatAreNamedAreTold() {
+  void NamedBalancersGetAReport() {
     BalancerGreeting greeting;
     greeting.balancers = {{Node(3), base::Duration(0)}, {Node(4), base::Duration(0)}};
     const std::vector<OutgoingReport> reports = Greet(greeting, 2, 0);
     CPPUNIT_ASSERT(reports.front().receivers == (std::vector{Node(3), Node(4)}));
   }
 
-  void FellowsAreNamedToWhoAsksForThem() {
+  void PeersAreListedOnRequest() {
     BalancerGreeting greeting;
     greeting.agents = {{Node(11), testing::orders_service}, {Node(12), testing::drawings_service}};
     Greet(greeting, 2, 0);
-    const std::vector<OutgoingReport> answers = Greet(FellowsQuestion(), 3, 10);
+    const std::vector<OutgoingReport> answers = Greet(PeerListQuery(), 3, 10);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, answers.back().report.fellows.size());
   }
 
@@ -60,22 +60,22 @@
     BalancerGreeting greeting;
     greeting.agent_count = 204;
     Greet(greeting, 2, 0);
-    BalancerGreeting young = FellowsQuestion();
-    young.agent_count = 1;
-    young.is_learning = true;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{204}, Greet(young, 2, 9'000).back().report.agent_count);
+    BalancerGreeting learning = PeerListQuery();
+    learning.agent_count = 1;
+    learning.is_learning = true;
+    CPPUNIT_ASSERT_EQUAL(std::size_t{204}, Greet(learning, 2, 9'000).back().report.agent_count);
   }
 
-  void ManyQuestionsAtOnceAreNotAllAnswered() {
+  void AnswersAreRateLimited() {
     std::size_t answered = 0;
     for (std::uint32_t balancer = 2; balancer < 662; ++balancer) {
-      answered += Greet(FellowsQuestion(), balancer, 10).size();
+      answered += Greet(PeerListQuery(), balancer, 10).size();
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{100}, answered);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{560}, m_reporter.SuppressedAnswerCount());
   }
 
-  void NewsGoToAllBalancers() {
+  void UrgentReportsGoToAllBalancers() {
     Greet({}, 2, 0);
     Greet({}, 3, 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_reporter.ReportToAll(At(10)).receivers.size());
@@ -88,24 +88,25 @@
       Greet(greeting, balancer, 0);
     }
     // All balancers have gone; the agent still reports to their addresses in turn.
-    std::size_t told = 0;
+    std::size_t reports_received = 0;
     for (int time = 8'000; time < 28'000; time += 50) {
       const OutgoingReport report = m_reporter.ReportInTurn(At(time));
       const auto& to = report.receivers;
-      told += time >= 10'000 && std::find(to.begin(), to.end(), Node(50)) != to.end() ? 1 : 0;
+      reports_received +=
+          time >= 10'000 && std::find(to.begin(), to.end(), Node(50)) != to.end() ? 1 : 0;
       CPPUNIT_ASSERT(time < 10'000 || to.size() <= 2 || to.size() == 91);
     }
-    CPPUNIT_ASSERT(told >= 1);
+    CPPUNIT_ASSERT(reports_received >= 1);
   }
 
-  void AnAgentThatNobodyGreetsIsAlone() {
+  void AnAgentWithoutGreetingsHasNoBalancer() {
     Greet({}, 2, 1'000);
     CPPUNIT_ASSERT(!m_reporter.HasNoBalancer(At(3'400)));
     CPPUNIT_ASSERT(m_reporter.HasNoBalancer(At(3'600)));
   }
 
  private:
-  static BalancerGreeting FellowsQuestion() {
+  static BalancerGreeting PeerListQuery() {
     BalancerGreeting question;
     question.wants_answer = true;
     question.wants_fellows = true;
--- a/libs/placement/tests/endpoint_gate_test.cpp
+++ b/libs/placement/tests/endpoint_gate_test.cpp
@@ -26,30 +26,30 @@
   CPPUNIT_TEST(ALateAnnouncementDoesNotReopenTheGate);
   CPPUNIT_TEST(DeregistrationWithoutDrainingCloses);
   CPPUNIT_TEST(AnotherIncarnationAtTheSameAddressIsAdmitted);
-  CPPUNIT_TEST(ADrainingStrangerDoesNotCloseTheGate);
+  CPPUNIT_TEST(ADrainOfAnotherIncarnationDoesNotCloseTheGate);
   CPPUNIT_TEST(MemoryIsUsedForALimitedTimeOnly);
   CPPUNIT_TEST(ARememberedLeaveIsKept);
   CPPUNIT_TEST(MemoryNeverOverridesWhatWasHeard);
-  CPPUNIT_TEST(ASingleAnnouncementIsBelievedForALimitedTime);
+  CPPUNIT_TEST(ASingleAnnouncementIsValidForALimitedTime);
   CPPUNIT_TEST(MissedAnnouncementsMakeItSilent);
   CPPUNIT_TEST(UnansweredOpeningsMakeItSilent);
   CPPUNIT_TEST(OneUnansweredOpeningMakesItSilent);
-  CPPUNIT_TEST(ARefusedProbeMakesItAbsentUntilItSpeaks);
+  CPPUNIT_TEST(ARefusedProbeMakesItAbsentUntilItIsHeard);
   CPPUNIT_TEST(AHealthyProbeAdmitsForALimitedTime);
   CPPUNIT_TEST(ProbesAreSpacedAndOnlyInDoubt);
   CPPUNIT_TEST(WarmUpRunsOut);
-  CPPUNIT_TEST(ALateWordOfACrashedIncarnationIsNotBelieved);
-  CPPUNIT_TEST(ALateDeregistrationOfACrashedIncarnationIsNotBelieved);
-  CPPUNIT_TEST(SeveralLateWordsAtOnceAreNotBelieved);
-  CPPUNIT_TEST(AnIncarnationThatWasFollowedNeverSpeaksAgain);
-  CPPUNIT_TEST(AfterARestartTheLateWordMayComeFirst);
-  CPPUNIT_TEST(AfterARestartTheLateWordMayComeSecond);
-  CPPUNIT_TEST(ALateDrainOfAnOlderOneDoesNotReopenTheGate);
+  CPPUNIT_TEST(ADelayedAnnouncementOfACrashedIncarnationIsNotAccepted);
+  CPPUNIT_TEST(ADelayedDeregistrationOfACrashedIncarnationIsIgnored);
+  CPPUNIT_TEST(SeveralDelayedAnnouncementsAtOnceAreNotAccepted);
+  CPPUNIT_TEST(AnnouncementsOfAReplacedIncarnationAreIgnored);
+  CPPUNIT_TEST(AfterARestartTheDelayedAnnouncementMayComeFirst);
+  CPPUNIT_TEST(AfterARestartTheDelayedAnnouncementMayComeSecond);
+  CPPUNIT_TEST(ADelayedDrainOfAnOlderIncarnationDoesNotReopenTheGate);
   CPPUNIT_TEST(ASuccessorTakesOverOnceThePresentOneIsSilent);
   CPPUNIT_TEST(ASuccessorTakesOverAtOnceWhereThePresentOneDoesNotAnswer);
-  CPPUNIT_TEST(ASuccessorThatLeavesBeforeItIsBelievedClosesTheGate);
-  CPPUNIT_TEST(WhatIsNotKnownMayBeCold);
-  CPPUNIT_TEST(OnesThatAreOverAreRememberedBoundedly);
+  CPPUNIT_TEST(ASuccessorThatLeavesBeforeItIsConfirmedClosesTheGate);
+  CPPUNIT_TEST(AnUnknownEndpointMayBeCold);
+  CPPUNIT_TEST(TheNumberOfEndedIncarnationsIsBounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
   }
 
-  void ADrainingStrangerDoesNotCloseTheGate() {
+  void ADrainOfAnotherIncarnationDoesNotCloseTheGate() {
     m_gate.Announce(Ready("b", 1), At(0));
     m_gate.Announce(Draining("a", 30), At(10));
     Expect(EndpointStanding::kAdmitting, 10);
@@ -114,7 +114,7 @@
 
   // Regression test found by placement_proof: a restarted agent received a late announcement of an
   // endpoint that had deregistered during the agent's previous incarnation.
-  void ASingleAnnouncementIsBelievedForALimitedTime() {
+  void ASingleAnnouncementIsValidForALimitedTime() {
     m_gate.Announce(Ready("a", 8), At(0));
     Expect(EndpointStanding::kAdmitting, 2000);
     Expect(EndpointStanding::kUnknown, 2001);
@@ -155,7 +155,7 @@
     Expect(EndpointStanding::kAdmitting, 1160);
   }
 
-  void ARefusedProbeMakesItAbsentUntilItSpeaks() {
+  void ARefusedProbeMakesItAbsentUntilItIsHeard() {
     m_gate.NoteProbe(ProbeResult::kRefused, At(0));
     Expect(EndpointStanding::kAbsent, 5000);
     m_gate.Announce(Ready("a", 1), At(5000));
@@ -181,7 +181,7 @@
 
   // Its announcement was delayed by a partition; another incarnation has started at the address
   // since.
-  void ALateWordOfACrashedIncarnationIsNotBelieved() {
+  void ADelayedAnnouncementOfACrashedIncarnationIsNotAccepted() {
     HearTwice("b", 0);
     for (const std::uint64_t sequence : {1U, 50U}) {
       const AnnouncementOutcome outcome = m_gate.Announce(Ready("a", sequence), At(100));
@@ -192,14 +192,14 @@
     Expect(EndpointStanding::kLeaving, 200);
   }
 
-  void ALateDeregistrationOfACrashedIncarnationIsNotBelieved() {
+  void ADelayedDeregistrationOfACrashedIncarnationIsIgnored() {
     HearTwice("b", 0);
     m_gate.Deregister({"a"}, At(100));
     Expect(EndpointStanding::kAdmitting, 100);
     CPPUNIT_ASSERT(m_gate.Announce(Ready("a", 9), At(110)) == AnnouncementOutcome::kLate);
   }
 
-  void SeveralLateWordsAtOnceAreNotBelieved() {
+  void SeveralDelayedAnnouncementsAtOnceAreNotAccepted() {
     HearTwice("b", 0);
     for (std::uint64_t sequence = 40; sequence < 50; ++sequence) {
       m_gate.Announce(Ready("a", sequence), At(100));
@@ -210,7 +210,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
   }
 
-  void AnIncarnationThatWasFollowedNeverSpeaksAgain() {
+  void AnnouncementsOfAReplacedIncarnationAreIgnored() {
     HearTwice("a", 0);
     m_gate.Announce(Ready("b", 1), At(3000));
     m_gate.Announce(Ready("b", 2), At(4000));
@@ -223,7 +223,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
   }
 
-  void AfterARestartTheLateWordMayComeFirst() {
+  void AfterARestartTheDelayedAnnouncementMayComeFirst() {
     m_gate.Announce(Ready("a", 70), At(0));  // delayed
     m_gate.Announce(Ready("b", 1), At(300));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
@@ -232,7 +232,7 @@
     CPPUNIT_ASSERT(m_gate.Announce(Ready("a", 71), At(2400)) == AnnouncementOutcome::kLate);
   }
 
-  void AfterARestartTheLateWordMayComeSecond() {
+  void AfterARestartTheDelayedAnnouncementMayComeSecond() {
     m_gate.Announce(Ready("b", 12), At(0));
     m_gate.Announce(Ready("a", 70), At(100));  // delayed; neither incarnation is confirmed yet
     m_gate.Announce(Ready("b", 13), At(1000));
@@ -245,7 +245,7 @@
   }
 
   // Regression test: the gate remembered only the last incarnation that left.
-  void ALateDrainOfAnOlderOneDoesNotReopenTheGate() {
+  void ADelayedDrainOfAnOlderIncarnationDoesNotReopenTheGate() {
     HearTwice("b", 0);
     m_gate.Deregister({"b"}, At(2000));
     m_gate.Announce(Draining("a", 60), At(2100));
@@ -272,7 +272,7 @@
   }
 
   // Once acknowledged, the end of an incarnation is final.
-  void ASuccessorThatLeavesBeforeItIsBelievedClosesTheGate() {
+  void ASuccessorThatLeavesBeforeItIsConfirmedClosesTheGate() {
     HearTwice("a", 0);
     m_gate.Announce(Ready("b", 1), At(1500));
     CPPUNIT_ASSERT(m_gate.Announce(Draining("b", 2), At(1800)) == AnnouncementOutcome::kTaken);
@@ -283,7 +283,7 @@
     Expect(EndpointStanding::kLeaving, 5600);
   }
 
-  void WhatIsNotKnownMayBeCold() {
+  void AnUnknownEndpointMayBeCold() {
     CPPUNIT_ASSERT(m_gate.MayBeCold(At(0)));
     HearTwice("a", 0);
     CPPUNIT_ASSERT(!m_gate.MayBeCold(At(1000)));
@@ -299,7 +299,7 @@
     CPPUNIT_ASSERT(!m_gate.MayBeCold(At(3600)));
   }
 
-  void OnesThatAreOverAreRememberedBoundedly() {
+  void TheNumberOfEndedIncarnationsIsBounded() {
     for (int number = 0; number < 100; ++number) {
       m_gate.Deregister({"old-" + std::to_string(number)}, At(number));
     }
--- a/libs/placement/tests/endpoint_restart_test.cpp
+++ b/libs/placement/tests/endpoint_restart_test.cpp
@@ -35,28 +35,28 @@
 
 class EndpointRestartTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EndpointRestartTest);
-  CPPUNIT_TEST(ALaterStartIsTakenAtOnceThoughItsNumbersBeginAnew);
-  CPPUNIT_TEST(TheFormerLifeNeverSpeaksAgain);
-  CPPUNIT_TEST(AnEarlierLifeDoesNotReopenTheGate);
-  CPPUNIT_TEST(AnEarlierLifeDoesNotReopenTheGateOfAnotherIdentifier);
-  CPPUNIT_TEST(ALifeWhoseClockWasSetBackIsBelievedWhenHeardAgain);
-  CPPUNIT_TEST(ALaterStartUnderAnotherIdentifierIsTakenAtOnce);
-  CPPUNIT_TEST(ALaterLifeThatEndsClosesTheGate);
-  CPPUNIT_TEST(AnnouncementsWithoutAStartAreSomebodyElses);
-  CPPUNIT_TEST(ADeregistrationWithoutAStartIsOfThePresentLife);
-  CPPUNIT_TEST(ADeregistrationOfTheFormerLifeIsLate);
-  CPPUNIT_TEST(MemoryOfAFormerLifeGivesWay);
-  CPPUNIT_TEST(AnOlderReleasesMemoryNamesTheSameLife);
+  CPPUNIT_TEST(ALaterStartIsAcceptedAtOnceThoughItsSequenceRestarts);
+  CPPUNIT_TEST(AnnouncementsOfThePreviousIncarnationAreIgnored);
+  CPPUNIT_TEST(AnEarlierIncarnationDoesNotReopenTheGate);
+  CPPUNIT_TEST(AnEarlierIncarnationDoesNotReopenTheGateOfAnotherIdentifier);
+  CPPUNIT_TEST(AnIncarnationAfterAClockStepBackIsAcceptedWhenHeardAgain);
+  CPPUNIT_TEST(ALaterStartUnderAnotherIdentifierIsAcceptedAtOnce);
+  CPPUNIT_TEST(ALaterIncarnationThatEndsClosesTheGate);
+  CPPUNIT_TEST(AnnouncementsWithoutAStartAreIncomplete);
+  CPPUNIT_TEST(ADeregistrationWithoutAStartIsOfTheCurrentIncarnation);
+  CPPUNIT_TEST(ADeregistrationOfThePreviousIncarnationIsStale);
+  CPPUNIT_TEST(MemoryOfAPreviousIncarnationIsReplaced);
+  CPPUNIT_TEST(AnOlderReleasesMemoryMatchesTheSameIncarnation);
   CPPUNIT_TEST(ReportsNameTheStart);
-  CPPUNIT_TEST(FlowsOfTheFormerLifeAreDead);
-  CPPUNIT_TEST(FlowsOpenedBeforeTheFirstAnnouncementLive);
-  CPPUNIT_TEST(AClockThatJumpedKillsNoFlowOfTheNewLife);
-  CPPUNIT_TEST(AnotherAnnouncementOfTheSameLifeKillsNothing);
-  CPPUNIT_TEST(TheFormerLifesFailuresAreForgotten);
+  CPPUNIT_TEST(FlowsOfThePreviousIncarnationAreDead);
+  CPPUNIT_TEST(FlowsOpenedBeforeTheFirstAnnouncementAreKept);
+  CPPUNIT_TEST(AClockStepEndsNoFlowOfTheNewIncarnation);
+  CPPUNIT_TEST(AnotherAnnouncementOfTheSameIncarnationEndsNoFlow);
+  CPPUNIT_TEST(FailuresOfThePreviousIncarnationAreDiscarded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ALaterStartIsTakenAtOnceThoughItsNumbersBeginAnew() {
+  void ALaterStartIsAcceptedAtOnceThoughItsSequenceRestarts() {
     HearTwice(kFirstStart, 40, 0);
     const auto outcome = m_gate.Announce(Ready(kSecondStart, 1), At(1200));
     CPPUNIT_ASSERT(outcome == AnnouncementOutcome::kTaken);
@@ -66,7 +66,7 @@
     Expect(EndpointStanding::kAdmitting, 2200);
   }
 
-  void TheFormerLifeNeverSpeaksAgain() {
+  void AnnouncementsOfThePreviousIncarnationAreIgnored() {
     HearTwice(kFirstStart, 40, 0);
     m_gate.Announce(Ready(kSecondStart, 1), At(1200));
     CPPUNIT_ASSERT(m_gate.Announce(Ready(kFirstStart, 50), At(1300)) == AnnouncementOutcome::kLate);
@@ -77,7 +77,7 @@
 
   // The announcements were delayed by a partition and arrive together at an agent that has not
   // heard the endpoint before.
-  void AnEarlierLifeDoesNotReopenTheGate() {
+  void AnEarlierIncarnationDoesNotReopenTheGate() {
     m_gate.Announce(Draining(kSecondStart, 3), At(0));
     for (std::uint64_t sequence = 7; sequence < 12; ++sequence) {
       CPPUNIT_ASSERT(m_gate.Announce(Ready(kFirstStart, sequence), At(100)) ==
@@ -86,7 +86,7 @@
     }
   }
 
-  void AnEarlierLifeDoesNotReopenTheGateOfAnotherIdentifier() {
+  void AnEarlierIncarnationDoesNotReopenTheGateOfAnotherIdentifier() {
     m_gate.Announce(Draining(kSecondStart, 3), At(0));
     m_gate.Announce({{"b", kSecondStart + 1}, false, 4, milliseconds(0), 1}, At(100));
     m_gate.Announce({{"b", kSecondStart + 1}, true, 4, milliseconds(0), 2}, At(200));
@@ -95,7 +95,7 @@
     Expect(EndpointStanding::kLeaving, 300);
   }
 
-  void ALifeWhoseClockWasSetBackIsBelievedWhenHeardAgain() {
+  void AnIncarnationAfterAClockStepBackIsAcceptedWhenHeardAgain() {
     HearTwice(kSecondStart, 40, 0);
     m_gate.Announce(Ready(kFirstStart, 1), At(2000));
     m_gate.Announce(Ready(kFirstStart, 2), At(3000));
@@ -106,7 +106,7 @@
   }
 
   // Two processes can't listen at one address.
-  void ALaterStartUnderAnotherIdentifierIsTakenAtOnce() {
+  void ALaterStartUnderAnotherIdentifierIsAcceptedAtOnce() {
     HearTwice(kFirstStart, 40, 0);
     const Announcement successor{{"b", kSecondStart}, false, 4, milliseconds(0), 1};
     CPPUNIT_ASSERT(m_gate.Announce(successor, At(1100)) == AnnouncementOutcome::kTaken);
@@ -116,19 +116,19 @@
     Expect(EndpointStanding::kAdmitting, 1200);
   }
 
-  void ALaterLifeThatEndsClosesTheGate() {
+  void ALaterIncarnationThatEndsClosesTheGate() {
     HearTwice(kFirstStart, 40, 0);
     m_gate.Deregister({"b", kSecondStart}, At(1100));
     Expect(EndpointStanding::kLeaving, 1100);
   }
 
-  void AnnouncementsWithoutAStartAreSomebodyElses() {
+  void AnnouncementsWithoutAStartAreIncomplete() {
     HearTwice(kFirstStart, 1, 0);
     CPPUNIT_ASSERT(m_gate.Announce(Draining(0, 99), At(1100)) == AnnouncementOutcome::kIncomplete);
     Expect(EndpointStanding::kAdmitting, 1100);
   }
 
-  void ADeregistrationWithoutAStartIsOfThePresentLife() {
+  void ADeregistrationWithoutAStartIsOfTheCurrentIncarnation() {
     HearTwice(kFirstStart, 1, 0);
     m_gate.Deregister({"a"}, At(1100));
     Expect(EndpointStanding::kLeaving, 1100);
@@ -137,14 +137,14 @@
     Expect(EndpointStanding::kAdmitting, 1300);
   }
 
-  void ADeregistrationOfTheFormerLifeIsLate() {
+  void ADeregistrationOfThePreviousIncarnationIsStale() {
     HearTwice(kSecondStart, 1, 0);
     m_gate.Deregister({"a", kFirstStart}, At(1100));
     Expect(EndpointStanding::kAdmitting, 1100);
   }
 
   // A restarted agent uses a balancer's memory until it hears the endpoint.
-  void MemoryOfAFormerLifeGivesWay() {
+  void MemoryOfAPreviousIncarnationIsReplaced() {
     m_gate.Remember(Ready(kFirstStart, 90), EndpointStanding::kLeaving, At(0));
     Expect(EndpointStanding::kLeaving, 0);
     m_gate.Remember(Ready(kSecondStart, 1), EndpointStanding::kAdmitting, At(10));
@@ -155,7 +155,7 @@
                    AnnouncementOutcome::kTaken);
   }
 
-  void AnOlderReleasesMemoryNamesTheSameLife() {
+  void AnOlderReleasesMemoryMatchesTheSameIncarnation() {
     m_gate.Remember(Ready(0, 5), EndpointStanding::kLeaving, At(0));
     m_gate.Announce(Ready(kFirstStart, 4), At(100));
     Expect(EndpointStanding::kLeaving, 100);
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT(EndpointHash({"a", kFirstStart}) != EndpointHash({"a", kSecondStart}));
   }
 
-  void FlowsOfTheFormerLifeAreDead() {
+  void FlowsOfThePreviousIncarnationAreDead() {
     Live(kFirstStart);
     OpenAt(1);
     m_now += milliseconds(900);
@@ -186,7 +186,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, m_agent.MakeReport(m_now).load.busy);
   }
 
-  void FlowsOpenedBeforeTheFirstAnnouncementLive() {
+  void FlowsOpenedBeforeTheFirstAnnouncementAreKept() {
     Live(kFirstStart);
     OpenAt(1);
     m_now += milliseconds(900);
@@ -199,7 +199,7 @@
 
   // Without a usable start time, only flows without a packet from the endpoint since the previous
   // incarnation was last heard are dead.
-  void AClockThatJumpedKillsNoFlowOfTheNewLife() {
+  void AClockStepEndsNoFlowOfTheNewIncarnation() {
     Live(kFirstStart);
     OpenAt(1);
     m_now += milliseconds(100);
@@ -214,7 +214,7 @@
     }
   }
 
-  void AnotherAnnouncementOfTheSameLifeKillsNothing() {
+  void AnotherAnnouncementOfTheSameIncarnationEndsNoFlow() {
     Live(kFirstStart);
     OpenAt(1);
     m_now += milliseconds(1000);
@@ -224,7 +224,7 @@
     CPPUNIT_ASSERT(m_agent.FlowsToReset().TakeSome().empty());
   }
 
-  void TheFormerLifesFailuresAreForgotten() {
+  void FailuresOfThePreviousIncarnationAreDiscarded() {
     Live(kFirstStart);
     for (int count = 0; count < 30; ++count) {
       m_agent.OutlierDetection().NoteFailure(m_now);
--- a/libs/placement/tests/held_addresses_test.cpp
+++ b/libs/placement/tests/held_addresses_test.cpp
@@ -36,18 +36,18 @@
 // to which the route referred before the balancer started.
 class HeldAddressesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HeldAddressesTest);
-  CPPUNIT_TEST(AYoungBalancerFindsTheFlowsOfAServiceThatLeftTheRoute);
+  CPPUNIT_TEST(ANewBalancerFindsTheFlowsOfAServiceThatLeftTheRoute);
   CPPUNIT_TEST(AgentsThatHoldNoneOfTheAddressAreNotAsked);
   CPPUNIT_TEST(AnAgentThatMayHoldMoreIsAskedAfterTheOthers);
   CPPUNIT_TEST(AnAgentOnlyNamedMayHoldAnything);
   CPPUNIT_TEST(AFlowThatNoneOfTheAskedHoldsIsReset);
   CPPUNIT_TEST(AFlowIsLeftAloneWhereTooManyMayHoldIt);
-  CPPUNIT_TEST(NewFlowsDontGoThere);
+  CPPUNIT_TEST(AgentsOutsideTheRouteGetNoNewFlows);
   CPPUNIT_TEST(AnAgentListsTheAddressesOfItsFlows);
   CPPUNIT_TEST(AFlowThatIsNotHeldIsNotListed);
   CPPUNIT_TEST(ARestartedAgentMayHoldMoreForAFlowsLifetime);
   CPPUNIT_TEST(ARestartedAgentIsToldWhatItHeld);
-  CPPUNIT_TEST(MoreAddressesThanFitAreSaid);
+  CPPUNIT_TEST(TooManyAddressesAreReported);
   CPPUNIT_TEST(ReportsCarryThem);
   CPPUNIT_TEST(ReportsOfAnOlderReleaseSayNothing);
   CPPUNIT_TEST_SUITE_END();
@@ -61,7 +61,7 @@
     Hear(2, orders_service, {});
   }
 
-  void AYoungBalancerFindsTheFlowsOfAServiceThatLeftTheRoute() {
+  void ANewBalancerFindsTheFlowsOfAServiceThatLeftTheRoute() {
     Hear(11, drawings_service, {{virtual_address}, false});
     CPPUNIT_ASSERT(Asked() == std::set({Node(1), Node(2), Node(11)}));
   }
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT(m_last.reason == BalancerReason::kNotSure);
   }
 
-  void NewFlowsDontGoThere() {
+  void AgentsOutsideTheRouteGetNoNewFlows() {
     Hear(11, drawings_service, {{virtual_address}, false});
     for (std::uint16_t port = 1; port <= 30; ++port) {
       const BalancerDecision decision = m_core->OnClientPacket(Opening(Flow(port)), m_now);
@@ -149,7 +149,7 @@
     CPPUNIT_ASSERT(Held() == HeldAddresses{});
   }
 
-  void MoreAddressesThanFitAreSaid() {
+  void TooManyAddressesAreReported() {
     StartAgent(true);
     for (std::uint16_t number = 0; number <= HeldAddresses::kMaxAddresses; ++number) {
       Open(number, base::SocketAddress::Ipv4(0xc6120001, 1000 + number));
--- a/libs/placement/tests/outlier_detector_test.cpp
+++ b/libs/placement/tests/outlier_detector_test.cpp
@@ -27,24 +27,24 @@
   CPPUNIT_TEST(AnEndpointThatFailsAPartIsEjected);
   CPPUNIT_TEST(RareFailuresNeverEject);
   CPPUNIT_TEST(TrialsComeOneAtATimeAfterAPause);
-  CPPUNIT_TEST(TrialsThatPassBringItBack);
+  CPPUNIT_TEST(SuccessfulTrialsReadmitTheEndpoint);
   CPPUNIT_TEST(AFailedTrialIsFollowedByALongerPause);
   CPPUNIT_TEST(ATrialWithoutOutcomeIsGivenUp);
   CPPUNIT_TEST(ARelapseWaitsLonger);
   CPPUNIT_TEST(OutcomesOfEarlierFlowsDecideNoTrial);
   CPPUNIT_TEST(ResetsInPlaceOfAnswersEjectTheEndpoint);
-  CPPUNIT_TEST(AnEjectedEndpointGivesOpeningsBack);
-  CPPUNIT_TEST(AnEjectedEndpointTakesWhatHasNowhereElseToGo);
+  CPPUNIT_TEST(AnEjectedEndpointReturnsOpenings);
+  CPPUNIT_TEST(AnEjectedEndpointAcceptsFlowsThatMustBeAccepted);
   CPPUNIT_TEST(OpenFlowsOfAnEjectedEndpointStay);
   CPPUNIT_TEST(ResetsByClientsAndAfterAnswersAreNoEvidence);
   CPPUNIT_TEST(ResetsInAnOverloadAreNoEvidence);
-  CPPUNIT_TEST(ANewIncarnationBeginsAnew);
+  CPPUNIT_TEST(ANewIncarnationStartsWithoutFailures);
   CPPUNIT_TEST(EjectionCanBeSwitchedOff);
-  CPPUNIT_TEST(ABalancerPassesOverEjectedEndpoints);
+  CPPUNIT_TEST(ABalancerSkipsEjectedEndpoints);
   CPPUNIT_TEST(ABalancerSendsThemAFewTrials);
   CPPUNIT_TEST(WhereAllAreEjectedAllAreUsed);
-  CPPUNIT_TEST(AFlowWithNowhereElseToGoIsATrial);
-  CPPUNIT_TEST(AnEjectedEndpointIsNotPiledUpWithWork);
+  CPPUNIT_TEST(AFlowThatMustBeAcceptedIsATrial);
+  CPPUNIT_TEST(AnEjectedEndpointIsNotOverloaded);
   CPPUNIT_TEST(AnEjectedAgentThatIsSilentGetsNoTrials);
   CPPUNIT_TEST_SUITE_END();
 
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT(!m_monitor.TakeAdmission(At(510)));
   }
 
-  void TrialsThatPassBringItBack() {
+  void SuccessfulTrialsReadmitTheEndpoint() {
     Fail(3);
     for (int trial = 0; trial < 3; ++trial) {
       CPPUNIT_ASSERT(m_monitor.IsEjected());
@@ -119,7 +119,7 @@
   }
 
   void ARelapseWaitsLonger() {
-    TrialsThatPassBringItBack();
+    SuccessfulTrialsReadmitTheEndpoint();
     for (int failure = 0; failure < 3; ++failure) {
       m_monitor.NoteFailure(At(2'000));
     }
@@ -142,7 +142,7 @@
     CPPUNIT_ASSERT(EndpointStanding::kAdmitting == m_agent->MakeReport(At(100)).standing);
   }
 
-  void AnEjectedEndpointGivesOpeningsBack() {
+  void AnEjectedEndpointReturnsOpenings() {
     ResetRequests(3);
     const AgentDecision decision = Forward(Opening(Flow(50)), {}, 100);
     CPPUNIT_ASSERT(AgentVerdict::kReturn == decision.verdict);
@@ -151,7 +151,7 @@
     CPPUNIT_ASSERT(AgentVerdict::kReturn == Forward(Opening(Flow(52)), {}, 610).verdict);
   }
 
-  void AnEjectedEndpointTakesWhatHasNowhereElseToGo() {
+  void AnEjectedEndpointAcceptsFlowsThatMustBeAccepted() {
     ResetRequests(3);
     ForwardHeader header;
     header.must_accept = true;
@@ -198,7 +198,7 @@
     CPPUNIT_ASSERT(!m_agent->MakeReport(At(3'000)).is_ejected);
   }
 
-  void ANewIncarnationBeginsAnew() {
+  void ANewIncarnationStartsWithoutFailures() {
     ResetRequests(3);
     Announce("i-2", 1);
     CPPUNIT_ASSERT(!m_agent->MakeReport(At(100)).is_ejected);
@@ -212,7 +212,7 @@
   }
 
   // The ejected endpoint is idle, the other one nearly full.
-  void ABalancerPassesOverEjectedEndpoints() {
+  void ABalancerSkipsEjectedEndpoints() {
     BalancerCore balancer = MakeBalancer();
     CPPUNIT_ASSERT(CountAt(balancer, Node(2), 100) <= 12);
   }
@@ -236,7 +236,7 @@
   }
 
   // If all endpoints are ejected, no other flow could serve as a trial.
-  void AFlowWithNowhereElseToGoIsATrial() {
+  void AFlowThatMustBeAcceptedIsATrial() {
     ResetRequests(3);
     ForwardHeader header;
     header.must_accept = true;
@@ -250,7 +250,7 @@
 
   // In an overload, flows that can't be answered in time are refused, not queued at a failing
   // endpoint.
-  void AnEjectedEndpointIsNotPiledUpWithWork() {
+  void AnEjectedEndpointIsNotOverloaded() {
     BalancerCore balancer(BalancerSettings{.zone = "east"}, m_random, At(0));
     balancer.SetRoutes(Routes(1));
     AgentReport ejected = Report(1, 40);
--- a/libs/placement/tests/overload_replay_test.cpp
+++ b/libs/placement/tests/overload_replay_test.cpp
@@ -178,7 +178,7 @@
   CPPUNIT_TEST(UsefulWorkStaysAtTheCapacity);
   CPPUNIT_TEST(WithoutTheQueueTheUrgentAreRejectedLikeOthers);
   CPPUNIT_TEST(BelowTheCapacityAllAreInTime);
-  CPPUNIT_TEST(NobodyWaitsAfterTheOverload);
+  CPPUNIT_TEST(TheQueueIsEmptyAfterTheOverload);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -215,7 +215,7 @@
     CPPUNIT_ASSERT(replay.outcomes[kOrdinary].InTimeShare() > 0.99);
   }
 
-  void NobodyWaitsAfterTheOverload() {
+  void TheQueueIsEmptyAfterTheOverload() {
     Replay replay(true);
     replay.Play(3.0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, replay.Waiting());
--- a/libs/placement/tests/peer_agent_list_test.cpp
+++ b/libs/placement/tests/peer_agent_list_test.cpp
@@ -17,31 +17,31 @@
 
 class PeerAgentListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerAgentListTest);
-  CPPUNIT_TEST(ItListsWhatWasNamedWithoutItself);
+  CPPUNIT_TEST(ItListsNamedAgentsExceptItself);
   CPPUNIT_TEST(ANameIsListedOnce);
   CPPUNIT_TEST(TheNewestNamesStay);
-  CPPUNIT_TEST(NamesThatNobodyRepeatsAreForgotten);
+  CPPUNIT_TEST(AgentsNoLongerNamedAreRemoved);
   CPPUNIT_TEST(AFullListFitsADatagramWithTheReport);
   CPPUNIT_TEST(AListingForTheStoreIsReadAsItWasWritten);
   CPPUNIT_TEST(AMalformedListingIsNoListing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ItListsWhatWasNamedWithoutItself() {
+  void ItListsNamedAgentsExceptItself() {
     Name(1, 3);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_fellows.List().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_peer_agents.List().size());
   }
 
   void ANameIsListedOnce() {
     Name(2, 4);
     Name(2, 4);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, m_fellows.List().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, m_peer_agents.List().size());
   }
 
   void TheNewestNamesStay() {
     Name(2, 1 + PeerAgentList::kLimit);
     Name(1'000, 1'010);
-    const std::vector<ListedAgent> listed = m_fellows.List();
+    const std::vector<ListedAgent> listed = m_peer_agents.List();
     CPPUNIT_ASSERT_EQUAL(PeerAgentList::kLimit, listed.size());
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{11},
                          std::count_if(listed.begin(), listed.end(), [](const ListedAgent& agent) {
@@ -49,21 +49,21 @@
                          }));
   }
 
-  void NamesThatNobodyRepeatsAreForgotten() {
+  void AgentsNoLongerNamedAreRemoved() {
     Name(2, 3);
     for (int named = 0; named < 254; ++named) {
       Name(3, 3);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_fellows.List().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_peer_agents.List().size());
     Name(3, 3);
     Name(3, 3);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_fellows.List().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_peer_agents.List().size());
   }
 
   void AFullListFitsADatagramWithTheReport() {
     Name(2, 500);
     AgentReport report = Report(1'000'000);
-    report.fellows = m_fellows.List();
+    report.fellows = m_peer_agents.List();
     const std::string datagram = EncodeNodeMessage(report);
     CPPUNIT_ASSERT(datagram.size() < kDatagramLimit);
     const auto read = DecodeNodeMessage(
@@ -96,10 +96,10 @@
     for (std::uint32_t number = first; number <= last; ++number) {
       named.push_back({Node(number), testing::orders_service});
     }
-    m_fellows.Take(named);
+    m_peer_agents.Take(named);
   }
 
-  PeerAgentList m_fellows{Node(1)};
+  PeerAgentList m_peer_agents{Node(1)};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PeerAgentListTest);
--- a/libs/placement/tests/request_queue_test.cpp
+++ b/libs/placement/tests/request_queue_test.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::uint8_t kUrgent = 1;
 constexpr std::uint8_t kOrdinary = 2;
-constexpr base::Duration kAnswerTime = milliseconds(30);
+constexpr base::Duration kAnswerTimeout = milliseconds(30);
 constexpr std::uint32_t kSlots = 2;
 
 RequestClassTable Classes() {
@@ -39,14 +39,14 @@
 class RequestQueueTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestQueueTest);
   CPPUNIT_TEST(TheUrgentGoFirst);
-  CPPUNIT_TEST(WhoCanBeInTimeGoesBeforeWhoCant);
+  CPPUNIT_TEST(RequestsThatCanMeetTheirTargetGoFirst);
   CPPUNIT_TEST(TheNewestGoFirstWhereNotAllCanBeInTime);
-  CPPUNIT_TEST(TheLeastUrgentGetTheirShare);
-  CPPUNIT_TEST(WhoseCallersGaveUpAreTakenOut);
+  CPPUNIT_TEST(TheLeastUrgentAreNotStarved);
+  CPPUNIT_TEST(ExpiredRequestsAreRemoved);
   CPPUNIT_TEST(AFullQueueTakesNoMore);
   CPPUNIT_TEST(TheUrgentTakeThePlaceOfTheLeastUrgent);
   CPPUNIT_TEST(RoutesOfOnePriorityAreOneClass);
-  CPPUNIT_TEST(ACopyTakesItsOriginalsPlace);
+  CPPUNIT_TEST(ARetransmissionKeepsItsPlace);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT(Order(10) == (std::vector<std::uint16_t>{3, 1, 2}));
   }
 
-  void WhoCanBeInTimeGoesBeforeWhoCant() {
+  void RequestsThatCanMeetTheirTargetGoFirst() {
     Add(1, kOrdinary, 0);
     Add(2, kOrdinary, 100);
     Add(3, kOrdinary, 200);
@@ -73,22 +73,22 @@
     for (std::uint16_t port = 1; port <= kMany; ++port) {
       Add(port, kOrdinary, port);
     }
-    CPPUNIT_ASSERT(m_queue.TakeNext({kAnswerTime, kSlots}, At(30)) == Flow(kMany));
-    CPPUNIT_ASSERT(m_queue.TakeNext({kAnswerTime, 2 * kSlots}, At(30)) == Flow(1));
+    CPPUNIT_ASSERT(m_queue.TakeNext({kAnswerTimeout, kSlots}, At(30)) == Flow(kMany));
+    CPPUNIT_ASSERT(m_queue.TakeNext({kAnswerTimeout, 2 * kSlots}, At(30)) == Flow(1));
   }
 
-  void TheLeastUrgentGetTheirShare() {
+  void TheLeastUrgentAreNotStarved() {
     Add(100, kOrdinary, 0);
     unsigned turns = 0;
     std::optional<FlowKey> next;
     do {
       Add(static_cast<std::uint16_t>(++turns), kUrgent, 0);
-      next = m_queue.TakeNext({kAnswerTime, kSlots}, At(1));
+      next = m_queue.TakeNext({kAnswerTimeout, kSlots}, At(1));
     } while (next != Flow(100));
-    CPPUNIT_ASSERT_EQUAL(RequestQueue::kShare, turns);
+    CPPUNIT_ASSERT_EQUAL(RequestQueue::kLeastUrgentInterval, turns);
   }
 
-  void WhoseCallersGaveUpAreTakenOut() {
+  void ExpiredRequestsAreRemoved() {
     Add(1, kOrdinary, 0);
     Add(2, kUrgent, 0);
     CPPUNIT_ASSERT(m_queue.TakeExpired(At(3000)).empty());
@@ -127,7 +127,7 @@
     CPPUNIT_ASSERT(table.Of(kPriorityCount - 1).target_latency == milliseconds(7));
   }
 
-  void ACopyTakesItsOriginalsPlace() {
+  void ARetransmissionKeepsItsPlace() {
     PacketBuffer buffer;
     const std::vector<std::uint8_t> first = {1};
     const std::vector<std::uint8_t> second = {2};
@@ -148,7 +148,7 @@
 
   std::vector<std::uint16_t> Order(std::int64_t at) {
     std::vector<std::uint16_t> order;
-    while (const auto next = m_queue.TakeNext({kAnswerTime, kSlots}, At(at))) {
+    while (const auto next = m_queue.TakeNext({kAnswerTimeout, kSlots}, At(at))) {
       order.push_back(next->client.port);
     }
     return order;
@@ -173,11 +173,11 @@
   CPPUNIT_TEST(WithoutClassesNothingWaits);
   CPPUNIT_TEST(SwitchedOffNothingWaits);
   CPPUNIT_TEST(AnUploadOccupiesNoSlot);
-  CPPUNIT_TEST(AnOverdueAnswerHoldsNobodyUp);
-  CPPUNIT_TEST(AnotherIncarnationGetsAllThatWaits);
-  CPPUNIT_TEST(AnAgentThatEndsPassesAllOn);
-  CPPUNIT_TEST(ACallerThatGivesUpLeavesTheQueue);
-  CPPUNIT_TEST(TheLoadTellsWhoWaits);
+  CPPUNIT_TEST(AnOverdueAnswerOccupiesNoSlot);
+  CPPUNIT_TEST(ANewIncarnationGetsAllQueuedRequests);
+  CPPUNIT_TEST(AStoppingAgentReleasesAllRequests);
+  CPPUNIT_TEST(AnExpiredRequestLeavesTheQueue);
+  CPPUNIT_TEST(TheLoadIncludesQueuedRequests);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -277,7 +277,7 @@
     CPPUNIT_ASSERT(Request(10, kOrdinary).verdict == AgentVerdict::kQueue);
   }
 
-  void AnOverdueAnswerHoldsNobodyUp() {
+  void AnOverdueAnswerOccupiesNoSlot() {
     Fill();
     Request(9, kOrdinary);
     for (int tick = 0; tick < 20; ++tick) {
@@ -287,7 +287,7 @@
     CPPUNIT_ASSERT(Released() == std::vector{Flow(9)});
   }
 
-  void AnotherIncarnationGetsAllThatWaits() {
+  void ANewIncarnationGetsAllQueuedRequests() {
     Fill();
     Request(9, kOrdinary);
     Released();
@@ -296,7 +296,7 @@
     CPPUNIT_ASSERT(Released() == std::vector{Flow(9)});
   }
 
-  void AnAgentThatEndsPassesAllOn() {
+  void AStoppingAgentReleasesAllRequests() {
     Fill();
     Request(9, kOrdinary);
     m_agent->Stop();
@@ -304,7 +304,7 @@
     CPPUNIT_ASSERT(Request(10, kOrdinary).verdict == AgentVerdict::kDeliver);
   }
 
-  void ACallerThatGivesUpLeavesTheQueue() {
+  void AnExpiredRequestLeavesTheQueue() {
     Fill();
     Request(9, kOrdinary);
     FlowPacket reset = Data(Flow(9), 111, 0);
@@ -316,7 +316,7 @@
     CPPUNIT_ASSERT(Released().empty());
   }
 
-  void TheLoadTellsWhoWaits() {
+  void TheLoadIncludesQueuedRequests() {
     Fill();
     Request(9, kOrdinary);
     Request(10, kUrgent);
@@ -326,7 +326,7 @@
     const auto bytes = EncodeLoadNotice(MakeLoadNotice(report));
     const auto read = DecodeLoadNotice(bytes);
     CPPUNIT_ASSERT(read->queued == report.load.queued);
-    const auto older = DecodeLoadNotice(std::span(bytes).first(LoadNotice::kOlderSize));
+    const auto older = DecodeLoadNotice(std::span(bytes).first(LoadNotice::kSizeWithoutQueued));
     CPPUNIT_ASSERT(older->queued == PriorityCounts{});
     CPPUNIT_ASSERT_EQUAL(report.load.busy, older->busy);
   }
--- a/libs/placement/tests/stored_listing_test.cpp
+++ b/libs/placement/tests/stored_listing_test.cpp
@@ -37,16 +37,16 @@
   CPPUNIT_TEST(APartOfTheAgentsIsRenewedWhereTheirNumberChanges);
   CPPUNIT_TEST(ARefusedWriteIsTriedAgain);
   CPPUNIT_TEST(AgentsThatEndedOrFellSilentAreNotListed);
-  CPPUNIT_TEST(LearningDoesNotWaitForAgentsThatHadGoneBeforeAStopOfAll);
+  CPPUNIT_TEST(LearningDoesNotWaitForAgentsGoneBeforeAFullRestart);
   CPPUNIT_TEST(AFlowOfAListedAgentThatIsNotHeardYetIsNotReset);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void WhatHasNotChangedIsUpToDate() {
     StoredListing stored;
-    CPPUNIT_ASSERT(stored.IsOutdated(3, IsNobody));  // nothing is stored
+    CPPUNIT_ASSERT(stored.IsOutdated(3, IsNever));  // nothing is stored
     stored.NoteStored(Listing(3));
-    CPPUNIT_ASSERT(!stored.IsOutdated(3, IsNobody));
+    CPPUNIT_ASSERT(!stored.IsOutdated(3, IsNever));
   }
 
   void AnAgentThatHasGoneOutdatesIt() {
@@ -60,7 +60,7 @@
   void ANewAgentOutdatesOneThatHasRoom() {
     StoredListing stored;
     stored.NoteStored(Listing(kAgents));
-    CPPUNIT_ASSERT(stored.IsOutdated(kAgents + 1, IsNobody));
+    CPPUNIT_ASSERT(stored.IsOutdated(kAgents + 1, IsNever));
   }
 
   void APartOfTheAgentsIsRenewedWhereTheirNumberChanges() {
@@ -68,16 +68,16 @@
     AgentListing listing = Listing(StoredListing::kMaxAgents);
     listing.agent_count = 3'800;
     stored.NoteStored(listing);
-    CPPUNIT_ASSERT(!stored.IsOutdated(3'850, IsNobody));
-    CPPUNIT_ASSERT(stored.IsOutdated(4'000, IsNobody));
-    CPPUNIT_ASSERT(stored.IsOutdated(3'600, IsNobody));
+    CPPUNIT_ASSERT(!stored.IsOutdated(3'850, IsNever));
+    CPPUNIT_ASSERT(stored.IsOutdated(4'000, IsNever));
+    CPPUNIT_ASSERT(stored.IsOutdated(3'600, IsNever));
   }
 
   void ARefusedWriteIsTriedAgain() {
     StoredListing stored;
     stored.NoteStored(Listing(3));
     stored.NoteNotStored();
-    CPPUNIT_ASSERT(stored.IsOutdated(3, IsNobody));
+    CPPUNIT_ASSERT(stored.IsOutdated(3, IsNever));
   }
 
   void AgentsThatEndedOrFellSilentAreNotListed() {
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{kAgents - 2}, listing.agent_count);
   }
 
-  void LearningDoesNotWaitForAgentsThatHadGoneBeforeAStopOfAll() {
+  void LearningDoesNotWaitForAgentsGoneBeforeAFullRestart() {
     Balancer before;
     HearAll(before, 0, At(0));
     StoredListing stored;
@@ -130,7 +130,7 @@
     BalancerGossip gossip{Node(1), base::Incarnation(5), core, random, At(0)};
   };
 
-  static bool IsNobody(const base::SocketAddress&) { return false; }
+  static bool IsNever(const base::SocketAddress&) { return false; }
 
   static AgentListing Listing(std::size_t agents) {
     AgentListing listing;
