--- a/libs/placement/include/gaugevalve/placement/agent_core.h
+++ b/libs/placement/include/gaugevalve/placement/agent_core.h
@@ -14,7 +14,7 @@
 
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/placement/agent_report.h"
-#include "gaugevalve/placement/dead_flows.h"
+#include "gaugevalve/placement/dead_flow_queue.h"
 #include "gaugevalve/placement/endpoint_gate.h"
 #include "gaugevalve/placement/evacuated_zones.h"
 #include "gaugevalve/placement/flow_packet.h"
@@ -129,7 +129,7 @@
   /// returned even if the sending balancer doesn't know of the evacuation. Agent reports pass the
   /// set on to balancers.
   /// @return  whether the zones have changed
-  bool TakeEvacuated(const EvacuatedZones& evacuated, base::TimePoint now);
+  bool ApplyEvacuatedZones(const EvacuatedZones& evacuated, base::TimePoint now);
   const EvacuatedZones& Evacuated() const { return m_evacuated; }
   /// Restores the held addresses that a balancer remembers from the agent's previous incarnation.
   /// Complements Gate().Remember().
@@ -161,7 +161,7 @@
   std::size_t NoteEndpointGone(base::TimePoint now);
 
   /// Flows whose clients are to be sent a reset.
-  DeadFlows& FlowsToReset() { return m_dead; }
+  DeadFlowQueue& FlowsToReset() { return m_dead; }
 
   /// Returns the number of requests queued at the agent, by priority.
   const PriorityCounts& Queued() const { return m_queue.Counts(); }
@@ -280,7 +280,7 @@
   ReportSchedule m_reports;
   OutlierDetector m_outlier_detector;
   EndpointIncarnation m_outlier_incarnation;  // incarnation that m_outlier_detector describes
-  DeadFlows m_dead;
+  DeadFlowQueue m_dead;
   RequestQueue m_queue;
   std::vector<FlowKey> m_displaced;  // flows that lost their place in the queue to more urgent ones
   QueueCounters m_queue_counters;
--- a/libs/placement/include/gaugevalve/placement/agent_directory.h
+++ b/libs/placement/include/gaugevalve/placement/agent_directory.h
@@ -51,10 +51,11 @@
 /// ignored. Not thread-safe.
 class AgentDirectory {
  public:
-  /// @param fresh_for  minimum time for which a report counts as current; longer for agents that
+  /// @param report_lifetime  minimum time for which a report counts as current; longer for agents
+  /// that
   ///                   announce a longer report period
-  AgentDirectory(std::size_t limit, base::Duration fresh_for)
-      : m_limit(limit), m_fresh_for(fresh_for) {}
+  AgentDirectory(std::size_t limit, base::Duration report_lifetime)
+      : m_limit(limit), m_fresh_for(report_lifetime) {}
 
   ReportOutcome Take(const base::SocketAddress& address, const AgentReport& report,
                      base::TimePoint now);
--- a/libs/placement/include/gaugevalve/placement/forward_header.h
+++ b/libs/placement/include/gaugevalve/placement/forward_header.h
@@ -18,11 +18,11 @@
 
 /// What follows a header.
 enum class MessageKind : std::uint8_t {
-  kForward = 1,   ///< a client's packet for the endpoint beside the agent
-  kReturned = 2,  ///< the same packet, which the agent or its endpoint didn't take
-  kHolding = 3,   ///< head of a packet of a flow that the agent's endpoint was seen to hold
-  kControl = 4,   ///< a NodeMessage (protobuf)
-  kLoad = 5,      ///< a LoadNotice
+  kForward = 1,       ///< a client's packet for the endpoint beside the agent
+  kReturned = 2,      ///< the same packet, which the agent or its endpoint didn't take
+  kHolderNotice = 3,  ///< head of a packet of a flow that the agent's endpoint was seen to hold
+  kControl = 4,       ///< a NodeMessage (protobuf)
+  kLoad = 5,          ///< a LoadNotice
 };
 
 /// Why an agent returned a packet.
--- a/libs/placement/src/balancer_search.cpp
+++ b/libs/placement/src/balancer_search.cpp
@@ -225,8 +225,8 @@
   AddOnce(record.refused, agent);
 }
 
-bool BalancerCore::OnHolding(const FlowKey& flow, const base::SocketAddress& agent,
-                             base::ServiceId service, base::TimePoint now) {
+bool BalancerCore::OnHolderNotice(const FlowKey& flow, const base::SocketAddress& agent,
+                                  base::ServiceId service, base::TimePoint now) {
   NoticePause(now);
   m_agents.NoteActivity(agent);
   m_suspects.NoteHeard(agent);
--- a/libs/placement/src/node_message.cpp
+++ b/libs/placement/src/node_message.cpp
@@ -56,7 +56,7 @@
 // A list that is too long, or has names that are, says nothing.
 EvacuatedZones ReadEvacuated(const proto::EvacuatedZones& message) {
   const bool has_fault =
-      static_cast<std::size_t>(message.zones_size()) > EvacuatedZones::kMostZones ||
+      static_cast<std::size_t>(message.zones_size()) > EvacuatedZones::kMaxZones ||
       std::any_of(message.zones().begin(), message.zones().end(),
                   [](const std::string& zone) { return zone.size() > kMostText; });
   return has_fault
