--- a/libs/placement/include/gaugevalve/placement/agent_core.h
+++ b/libs/placement/include/gaugevalve/placement/agent_core.h
@@ -13,7 +13,7 @@
 
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/placement/agent_report.h"
-#include "gaugevalve/placement/dead_flows.h"
+#include "gaugevalve/placement/dead_flow_queue.h"
 #include "gaugevalve/placement/endpoint_gate.h"
 #include "gaugevalve/placement/evacuated_zones.h"
 #include "gaugevalve/placement/flow_packet.h"
@@ -60,7 +60,7 @@
 struct EndpointNews {
   AnnouncementOutcome outcome = AnnouncementOutcome::kTaken;
   bool is_successor = false;   ///< of an incarnation that started earlier and has ended
-  std::size_t dead_flows = 0;  ///< of its former life, given out by AgentCore::DeadOnes()
+  std::size_t dead_flows = 0;  ///< of its former life, given out by AgentCore::FlowsToReset()
 };
 
 /// Flows that no longer wait.
@@ -117,7 +117,7 @@
   /// Takes which zones are evacuated: while the agent's own is, new flows are returned, however
   /// little the balancer that sends them knows. The agent tells balancers in its reports.
   /// @return  whether the zones have changed
-  bool TakeEvacuated(const EvacuatedZones& evacuated, base::TimePoint now);
+  bool ApplyEvacuatedZones(const EvacuatedZones& evacuated, base::TimePoint now);
   const EvacuatedZones& Evacuated() const { return m_evacuated; }
   /// Takes what a balancer remembers of the agent's former life, besides Gate().Remember().
   void RememberHeld(const HeldAddresses& memory, base::TimePoint now) {
@@ -142,12 +142,12 @@
   QueueRelease TakeReleased(base::TimePoint now);
 
   /// Nothing listens at the endpoint's address: the flows that it held are dead. Those whose
-  /// clients' acknowledgements were seen are given out by DeadOnes().
+  /// clients' acknowledgements were seen are given out by FlowsToReset().
   /// @return  how many
   std::size_t NoteEndpointGone(base::TimePoint now);
 
   /// The flows that are to be reset towards their clients.
-  DeadFlows& DeadOnes() { return m_dead; }
+  DeadFlowQueue& FlowsToReset() { return m_dead; }
 
   /// Returns how many requests wait here, by priority.
   const PriorityCounts& Queued() const { return m_queue.Counts(); }
@@ -263,7 +263,7 @@
   ReportSchedule m_reports;
   OutcomeMonitor m_outcomes;
   EndpointIncarnation m_monitored;  // that they are of
-  DeadFlows m_dead;
+  DeadFlowQueue m_dead;
   RequestQueue m_queue;
   std::vector<FlowKey> m_displaced;  // more urgent ones took their places
   QueueCounters m_queue_counters;
--- a/libs/placement/include/gaugevalve/placement/agent_directory.h
+++ b/libs/placement/include/gaugevalve/placement/agent_directory.h
@@ -48,10 +48,11 @@
 /// Bounded by `limit` agents; when full, agents not known yet are ignored. Not thread-safe.
 class AgentDirectory {
  public:
-  /// @param fresh_for  how long a report speaks for the agent's present state, at least; longer for
+  /// @param report_lifetime  how long a report speaks for the agent's present state, at least;
+  /// longer for
   ///                   agents that say that they report less often
-  AgentDirectory(std::size_t limit, base::Duration fresh_for)
-      : m_limit(limit), m_fresh_for(fresh_for) {}
+  AgentDirectory(std::size_t limit, base::Duration report_lifetime)
+      : m_limit(limit), m_fresh_for(report_lifetime) {}
 
   ReportOutcome Take(const base::SocketAddress& address, const AgentReport& report,
                      base::TimePoint now);
--- a/libs/placement/src/agent_core.cpp
+++ b/libs/placement/src/agent_core.cpp
@@ -303,7 +303,7 @@
   }
 }
 
-bool AgentCore::TakeEvacuated(const EvacuatedZones& evacuated, base::TimePoint now) {
+bool AgentCore::ApplyEvacuatedZones(const EvacuatedZones& evacuated, base::TimePoint now) {
   const bool was_evacuated = IsEvacuated();
   const bool has_changed = m_evacuated.Take(evacuated);
   if (was_evacuated && !IsEvacuated()) {
--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -63,7 +63,7 @@
                            base::TimePoint now)
     : m_settings(std::move(settings)),
       m_random(random),
-      m_agents(m_settings.agent_limit, m_settings.fresh_for),
+      m_agents(m_settings.agent_limit, m_settings.report_lifetime),
       m_suspects(SuspectQuestions(m_settings.silence_limit)),
       m_chooser(m_settings.zone, random),
       m_started_at(now),
@@ -339,11 +339,12 @@
     return;
   }
   m_swept_at = now;
-  const base::Duration idle = std::min(m_settings.flow_memory, m_routes.idle_timeout + kIdleSlack);
+  const base::Duration idle =
+      std::min(m_settings.flow_retention, m_routes.idle_timeout + kIdleSlack);
   absl::erase_if(m_flows, [&](const auto& entry) { return now - entry.second.last_packet > idle; });
   NoteDeadFlows(now);
   m_recovery.Tick(now);
-  m_agents.ForgetSilent(m_settings.flow_memory, now);
+  m_agents.ForgetSilent(m_settings.flow_retention, now);
   const auto is_gone = [this](const base::SocketAddress& agent) {
     return m_agents.Find(agent) == nullptr;
   };
--- a/libs/placement/src/balancer_gossip.cpp
+++ b/libs/placement/src/balancer_gossip.cpp
@@ -83,7 +83,7 @@
   if (is_new || names_agents || !greetings.empty()) {
     m_news_at = now;
   }
-  if (m_core.TakeEvacuated(greeting.evacuated)) {
+  if (m_core.ApplyEvacuatedZones(greeting.evacuated)) {
     TellSomePeers(kPeersToldNews, now, greetings);
   }
   const bool is_timely = !m_core.HasJustWoken(now);
@@ -106,8 +106,8 @@
   }
 }
 
-std::vector<OutgoingGreeting> BalancerGossip::OnFellows(std::span<const ListedAgent> fellows,
-                                                        base::TimePoint now) {
+std::vector<OutgoingGreeting> BalancerGossip::OnNamedAgents(std::span<const ListedAgent> fellows,
+                                                            base::TimePoint now) {
   std::vector<OutgoingGreeting> greetings;
   AskListed(fellows, now, greetings);
   return greetings;
@@ -116,7 +116,7 @@
 std::vector<OutgoingGreeting> BalancerGossip::OnAgentListing(const AgentListing& listing,
                                                              base::TimePoint now) {
   m_core.Discovery().NoteAgentCount(listing.agent_count);
-  return OnFellows(listing.agents, now);
+  return OnNamedAgents(listing.agents, now);
 }
 
 AgentListing BalancerGossip::MakeAgentListing(base::TimePoint now) {
@@ -124,10 +124,10 @@
   std::erase_if(agents,
                 [&](const ListedAgent& agent) { return m_core.IsGone(agent.address, now); });
   const std::size_t count = agents.size();
-  return {Sample(std::move(agents), StoredListing::kMostAgents, m_random), count};
+  return {Sample(std::move(agents), StoredListing::kMaxAgents, m_random), count};
 }
 
-OutgoingGreeting BalancerGossip::WelcomeAgent(const KnownAgent& agent, base::TimePoint now) {
+OutgoingGreeting BalancerGossip::GreetNewAgent(const KnownAgent& agent, base::TimePoint now) {
   OutgoingGreeting welcome{agent.address, ForAgent(agent, now)};
   const bool asks = m_core.IsLearning(now) &&
                     m_core.Discovery().TakeFellowsQuestion(m_core.Agents().HeardCount());
--- a/libs/placement/tests/agent_core_test.cpp
+++ b/libs/placement/tests/agent_core_test.cpp
@@ -266,13 +266,13 @@
   void AnEndpointTakenBackMayBeCold() {
     MakeBounded();
     m_core.Gate().Announce({{"a"}, false, 100, milliseconds(0), 1}, m_now);
-    m_core.TakeEvacuated({1, {"east"}}, m_now);
+    m_core.ApplyEvacuatedZones({1, {"east"}}, m_now);
     CPPUNIT_ASSERT(!m_core.MayBeCold(m_now));
-    m_core.TakeEvacuated({2, {}}, m_now);
+    m_core.ApplyEvacuatedZones({2, {}}, m_now);
     CPPUNIT_ASSERT(m_core.MayBeCold(m_now + milliseconds(3000)));
     CPPUNIT_ASSERT(!m_core.MayBeCold(m_now + milliseconds(3001)));
-    m_core.TakeEvacuated({3, {"west"}}, m_now + milliseconds(4000));
-    m_core.TakeEvacuated({4, {}}, m_now + milliseconds(4100));  // not its own zone
+    m_core.ApplyEvacuatedZones({3, {"west"}}, m_now + milliseconds(4000));
+    m_core.ApplyEvacuatedZones({4, {}}, m_now + milliseconds(4100));  // not its own zone
     CPPUNIT_ASSERT(!m_core.MayBeCold(m_now + milliseconds(4200)));
   }
 
--- a/libs/placement/tests/agent_discovery_test.cpp
+++ b/libs/placement/tests/agent_discovery_test.cpp
@@ -213,7 +213,7 @@
   void AYoungBalancerAsksTheFirstAgentsForFellows() {
     HearAgent(2, kAgents);
     const OutgoingGreeting welcome =
-        m_gossip->WelcomeAgent(*m_core->Agents().Find(Node(2)), At(10));
+        m_gossip->GreetNewAgent(*m_core->Agents().Find(Node(2)), At(10));
     CPPUNIT_ASSERT(welcome.greeting.wants_answer && welcome.greeting.wants_fellows);
     CPPUNIT_ASSERT(welcome.greeting.is_learning);
   }
@@ -223,7 +223,7 @@
     const std::vector<ListedAgent> fellows = {{Node(2), testing::orders_service},
                                               {Node(3), testing::orders_service},
                                               {Node(4), testing::drawings_service}};
-    const std::vector<OutgoingGreeting> questions = m_gossip->OnFellows(fellows, At(10));
+    const std::vector<OutgoingGreeting> questions = m_gossip->OnNamedAgents(fellows, At(10));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, questions.size());  // one has been heard
     for (const OutgoingGreeting& question : questions) {
       CPPUNIT_ASSERT(question.greeting.wants_answer);
--- a/libs/placement/tests/agent_questions_test.cpp
+++ b/libs/placement/tests/agent_questions_test.cpp
@@ -160,7 +160,7 @@
 
   void ACopyOfAPacketAsksItsAgent() {
     HearAll();
-    m_core->OnHolding(Flow(1), Node(3), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     Pass(400);
     Send(Data(Flow(1), 101));
     CPPUNIT_ASSERT(!m_core->HasNewSuspects());
@@ -171,7 +171,7 @@
 
   void ACopyDoesNotAskAnAgentThatWasJustHeard() {
     HearAll();
-    m_core->OnHolding(Flow(1), Node(3), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     Send(Data(Flow(1), 101));
     Pass(200);
     Send(Data(Flow(1), 101));
@@ -181,7 +181,7 @@
   // Its agent reports every four seconds and would be waited for for twelve otherwise.
   void AFlowWhoseAgentAnswersNothingIsReset() {
     HearAll();
-    m_core->OnHolding(Flow(1), Node(kFirstDead), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(kFirstDead), orders_service, m_now);
     Pass(400);
     Send(Data(Flow(1), 101));
     Pass(200);
@@ -200,7 +200,7 @@
 
   void AnAgentThatAnswersInTimeKeepsItsFlows() {
     HearAll();
-    m_core->OnHolding(Flow(1), Node(3), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     for (int time = 0; time < 6'000; time += 200) {
       Pass(200);
       CPPUNIT_ASSERT_EQUAL(Node(3), Send(Data(Flow(1), 101)).agent);
@@ -225,7 +225,7 @@
   void ASuspectGetsNoNewFlow() {
     Hear(1);
     Hear(2);
-    m_core->OnHolding(Flow(1), Node(1), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(1), orders_service, m_now);
     Pass(400);
     Send(Data(Flow(1), 101));
     Pass(200);
@@ -239,7 +239,7 @@
 
   void APauseClearsSuspicions() {
     HearAll();
-    m_core->OnHolding(Flow(1), Node(3), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     Pass(400);
     Send(Data(Flow(1), 101));
     Pass(200);
--- a/libs/placement/tests/endpoint_restart_test.cpp
+++ b/libs/placement/tests/endpoint_restart_test.cpp
@@ -180,7 +180,7 @@
         m_agent.OnAnnouncement(Ready(kSecondStart, 1), kSecondStart + 300, m_now);
     CPPUNIT_ASSERT(news.is_successor);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.dead_flows);
-    const std::vector<DeadFlow> dead = m_agent.DeadOnes().TakeSome();
+    const std::vector<DeadFlow> dead = m_agent.FlowsToReset().TakeBatch();
     CPPUNIT_ASSERT(dead == (std::vector<DeadFlow>{{Flow(1), 5000}}));
     CPPUNIT_ASSERT_EQUAL(0U, m_agent.MakeReport(m_now).load.busy);
   }
@@ -192,7 +192,7 @@
     OpenAt(2);  // 100 ms after the second start
     m_now += milliseconds(200);
     m_agent.OnAnnouncement(Ready(kSecondStart, 1), kSecondStart + 300, m_now);
-    const std::vector<DeadFlow> dead = m_agent.DeadOnes().TakeSome();
+    const std::vector<DeadFlow> dead = m_agent.FlowsToReset().TakeBatch();
     CPPUNIT_ASSERT(dead == (std::vector<DeadFlow>{{Flow(1), 5000}}));
   }
 
@@ -208,7 +208,7 @@
     for (const std::uint64_t unix_ms : {kSecondStart - 2000, kSecondStart + 60'000}) {
       AgentCore agent = m_agent;
       agent.OnAnnouncement(Ready(kSecondStart, 1), unix_ms, m_now);
-      CPPUNIT_ASSERT(agent.DeadOnes().TakeSome() == (std::vector<DeadFlow>{{Flow(1), 5000}}));
+      CPPUNIT_ASSERT(agent.FlowsToReset().TakeBatch() == (std::vector<DeadFlow>{{Flow(1), 5000}}));
     }
   }
 
@@ -219,7 +219,7 @@
     const EndpointNews news =
         m_agent.OnAnnouncement(Ready(kFirstStart, 9), kFirstStart + 3000, m_now);
     CPPUNIT_ASSERT(!news.is_successor);
-    CPPUNIT_ASSERT(m_agent.DeadOnes().TakeSome().empty());
+    CPPUNIT_ASSERT(m_agent.FlowsToReset().TakeBatch().empty());
   }
 
   void TheFormerLifesFailuresAreForgotten() {
--- a/proofs/placement/src/placement_world.cpp
+++ b/proofs/placement/src/placement_world.cpp
@@ -69,7 +69,7 @@
 void PlacementWorld::MakeBalancer(std::size_t index) {
   placement::BalancerSettings settings;
   settings.learning_time = settings_.learning_time;
-  settings.fresh_for = std::chrono::seconds(1);
+  settings.report_lifetime = std::chrono::seconds(1);
   balancers_[index] = std::make_unique<placement::BalancerCore>(settings, random_, now_);
   balancers_[index]->SetRoutes(MakeRoutes());
 }
@@ -216,9 +216,9 @@
           balancers_[datagram.node]->OnReturnedPacket(datagram.packet, datagram.header,
                                                       AgentAddress(datagram.sender), now_));
       break;
-    case Hop::kHolding:
-      balancers_[datagram.node]->OnHolding(datagram.packet.flow, AgentAddress(datagram.sender),
-                                           datagram.header.service, now_);
+    case Hop::kHolderNotice:
+      balancers_[datagram.node]->OnHolderNotice(datagram.packet.flow, AgentAddress(datagram.sender),
+                                                datagram.header.service, now_);
       ++searches_ended_;
       break;
   }
@@ -326,7 +326,7 @@
     placement::ForwardHeader header;
     header.service = agents_[agent].endpoint.service;
     network_.push_back(
-        {Hop::kHolding, IndexOf(*decision.searcher), agent, clean, header, {}, 0, 0});
+        {Hop::kHolderNotice, IndexOf(*decision.searcher), agent, clean, header, {}, 0, 0});
   }
   Flow& flow = FlowOf(packet);
   if (packet.is_synchronizing && flow.endpoint_sequence == 0) {
--- a/tools/lab/src/discovery_experiment.cpp
+++ b/tools/lab/src/discovery_experiment.cpp
@@ -294,10 +294,10 @@
   void Take(const Event& event, const placement::AgentReport& report) {
     Balancer& balancer = balancers_[event.node];
     const auto outcome = balancer.core->OnReport(event.sender, report, now_);
-    SendAll(event.node, balancer.gossip->OnFellows(report.fellows, now_));
+    SendAll(event.node, balancer.gossip->OnNamedAgents(report.fellows, now_));
     const placement::KnownAgent* agent = balancer.core->Agents().Find(event.sender);
     if (outcome == placement::ReportOutcome::kNew && agent != nullptr) {
-      SendAll(event.node, {balancer.gossip->WelcomeAgent(*agent, now_)});
+      SendAll(event.node, {balancer.gossip->GreetNewAgent(*agent, now_)});
     }
   }
 
