--- a/libs/placement/include/gaugevalve/placement/balancer_core.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_core.h
@@ -137,7 +137,7 @@
 
   /// Returns whether the process has just started or woken from a pause: what it receives may have
   /// waited in its sockets for as long as it stood still.
-  bool HasJustWoken(base::TimePoint now);
+  bool HasJustResumed(base::TimePoint now);
 
   /// Returns how long the process has been paused in all.
   base::Duration PausedFor() const { return m_paused_for; }
@@ -166,7 +166,7 @@
     std::uint8_t priority = kDefaultPriority;  // of its requests
     base::TimePoint held_since{};              // at `agent`, as far as is known
     std::uint32_t acknowledged = 0;            // by the client, last
-    base::TimePoint data_at{};                 // when the client last sent data
+    base::TimePoint last_data_at{};            // when the client last sent data
     std::uint32_t data_sequence = 0;           // of the last packet with data; a copy has the same
     bool has_data = false;
     bool is_open = false;       // a packet beyond the opening one has come from the client
@@ -176,24 +176,25 @@
     bool is_searching = false;                 // and the holder hasn't been found
     std::uint8_t search_round = 0;             // counts the routes that were made
     std::uint32_t search_order = 0;            // each takes another order
-    unsigned forced = 0;                       // openings that had to be accepted
+    unsigned must_accept_attempts = 0;         // openings that had to be accepted
     std::vector<base::SocketAddress> refused;  // agents that returned it
     std::vector<base::SocketAddress> busy;     // those of them that did so for their load
   };
 
   BalancerDecision OnOpening(const FlowPacket& packet, base::TimePoint now);
-  BalancerDecision OnLater(const FlowPacket& packet, base::TimePoint now);
+  BalancerDecision OnLaterPacket(const FlowPacket& packet, base::TimePoint now);
   BalancerDecision Place(const FlowPacket& packet, const Route& route, FlowRecord& record,
                          std::uint8_t attempt, base::TimePoint now);
   BalancerDecision PlaceBusy(const FlowPacket& packet, const Route& route, FlowRecord& record,
                              std::uint8_t attempt, base::TimePoint now);
-  void PassOver(const base::SocketAddress& address, base::TimePoint now);
+  void PauseWarmingUpAgent(const base::SocketAddress& address, base::TimePoint now);
   KnownAgent* TakeTrial(const FlowRecord& record, base::TimePoint now);
-  std::vector<KnownAgent*> Ejected(const FlowRecord& record, base::TimePoint now);
-  BalancerDecision ForwardForGood(KnownAgent& agent, const Route& route, FlowRecord& record,
-                                  std::uint8_t attempt, base::TimePoint now);
-  BalancerDecision OnForcedReturn(const FlowPacket& packet, const Route& route, FlowRecord& record,
-                                  const ForwardHeader& header, base::TimePoint now);
+  std::vector<KnownAgent*> EjectedAgents(const FlowRecord& record, base::TimePoint now);
+  BalancerDecision ForwardMustAccept(KnownAgent& agent, const Route& route, FlowRecord& record,
+                                     std::uint8_t attempt, base::TimePoint now);
+  BalancerDecision OnMustAcceptReturned(const FlowPacket& packet, const Route& route,
+                                        FlowRecord& record, const ForwardHeader& header,
+                                        base::TimePoint now);
   std::vector<KnownAgent*> Candidates(const FlowRecord& record,
                                       const std::vector<base::SocketAddress>& without,
                                       base::TimePoint now);
@@ -205,7 +206,7 @@
                              std::uint8_t attempt) const;
   std::vector<KnownAgent*> PossibleHolders(const Route& route, base::TimePoint now);
   std::vector<KnownAgent*> HoldersOfOtherServices(const Route& route, base::TimePoint now);
-  bool MayBeAmongTooMany(const Route& route, base::TimePoint now);
+  bool HasTooManyPossibleHolders(const Route& route, base::TimePoint now);
   void OrderForSearch(std::vector<KnownAgent*>& agents, const Route& route,
                       const FlowPacket& packet, const FlowRecord& record,
                       base::TimePoint now) const;
@@ -216,21 +217,21 @@
   void Suspect(const KnownAgent& agent, base::TimePoint since, base::TimePoint now);
   void SuspectRoute(const FlowRecord& record, base::TimePoint now);
   void NoteData(const FlowPacket& packet, FlowRecord& record, base::TimePoint now);
-  void NoteDeadFlows(base::TimePoint now);
-  void AddUnheard(std::vector<SavedFlow>& flows);
-  void TellDead(const base::SocketAddress& address);
-  bool DiedWithItsEndpoint(const FlowKey& flow, const base::SocketAddress& agent);
-  bool RecallHolder(const FlowKey& flow, FlowRecord& record, base::TimePoint now);
+  void QueueFlowsOfLostAgents(base::TimePoint now);
+  void AddUnseenSavedFlows(std::vector<SavedFlow>& flows);
+  void QueueFlowsOfDeadIncarnations(const base::SocketAddress& address);
+  bool DiedWithEndpoint(const FlowKey& flow, const base::SocketAddress& agent);
+  bool FindSavedHolder(const FlowKey& flow, FlowRecord& record, base::TimePoint now);
   bool IsDead(const FlowKey& flow, const FlowRecord& record, base::TimePoint now);
   bool IsResponsive(const KnownAgent& agent, base::TimePoint now) const;
   static bool IsOpeningLost(const KnownAgent& agent, const FlowRecord& record, base::TimePoint now);
-  bool TakesNewFlows(const KnownAgent& agent) const;
+  bool AdmitsNewFlows(const KnownAgent& agent) const;
   bool MayHoldFlows(const KnownAgent& agent, base::TimePoint now) const;
   static void NoteRefusal(FlowRecord& record, const base::SocketAddress& agent,
                           const ForwardHeader& header);
-  static void NoteOpen(FlowRecord& record);
-  void NoticePause(base::TimePoint now);
-  FlowRecord* Remember(const FlowKey& flow);
+  static void MarkOpen(FlowRecord& record);
+  void DetectPause(base::TimePoint now);
+  FlowRecord* FindOrAddRecord(const FlowKey& flow);
   BalancerSettings m_settings;
   base::RandomSource& m_random;
   AgentDirectory m_agents;
@@ -246,9 +247,9 @@
   absl::flat_hash_map<FlowKey, FlowRecord> m_flows;
   DeadFlowQueue m_dead;
   FlowRecovery m_recovery;
-  FlowRecord m_overflow;         // stands in for a record when there is no room
+  FlowRecord m_overflow_record;  // stands in for a record when there is no room
   base::TimePoint m_started_at;  // or woken from a pause
-  base::TimePoint m_swept_at;
+  base::TimePoint m_last_sweep_at;
   std::optional<base::TimePoint> m_ticked_at;
   base::Duration m_paused_for{0};
 };
--- a/libs/placement/include/gaugevalve/placement/balancer_gossip.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_gossip.h
@@ -96,16 +96,16 @@
   StoreReaderRole& Reader() { return m_reader; }
 
  private:
-  void TellSomePeers(std::size_t count, base::TimePoint now,
-                     std::vector<OutgoingGreeting>& greetings);
+  void NotifyRandomPeers(std::size_t count, base::TimePoint now,
+                         std::vector<OutgoingGreeting>& greetings);
   OutgoingGreeting AskAgent(const base::SocketAddress& address, base::TimePoint now) const;
-  BalancerGreeting Brief(bool wants_answer, base::TimePoint now) const;
-  BalancerGreeting Sampled(bool wants_answer, base::TimePoint now);
-  BalancerGreeting ForAgent(const KnownAgent& agent, base::TimePoint now) const;
-  void AnswerWithAll(const base::SocketAddress& receiver, base::TimePoint now,
-                     std::vector<OutgoingGreeting>& greetings);
+  BalancerGreeting GreetingWithoutLists(bool wants_answer, base::TimePoint now) const;
+  BalancerGreeting GreetingWithSamples(bool wants_answer, base::TimePoint now);
+  BalancerGreeting GreetingForAgent(const KnownAgent& agent, base::TimePoint now) const;
+  void SendFullListing(const base::SocketAddress& receiver, base::TimePoint now,
+                       std::vector<OutgoingGreeting>& greetings);
   std::vector<ListedAgent> ListAgents() const;
-  void PassOnContact(base::TimePoint now, std::vector<OutgoingGreeting>& greetings);
+  void GossipStoreContact(base::TimePoint now, std::vector<OutgoingGreeting>& greetings);
   void AskListed(std::span<const ListedAgent> agents, base::TimePoint now,
                  std::vector<OutgoingGreeting>& greetings);
 
@@ -120,8 +120,8 @@
   BalancerList m_balancers;
   StoreReaderRole m_reader;
   base::TimePoint m_started_at;
-  unsigned m_asked_for_all = 0;  // peers that were asked for everything they know
-  base::TimePoint m_news_at;     // when a greeting last named a node that wasn't known
+  unsigned m_full_listings_requested = 0;  // peers that were asked for everything they know
+  base::TimePoint m_last_new_node_at;      // when a greeting last named a node that wasn't known
   base::RateBudget m_listings{kListingDatagramsPerPeriod, kListingPeriod};
 };
 
--- a/libs/placement/include/gaugevalve/placement/balancer_list.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_list.h
@@ -22,10 +22,11 @@
 class BalancerList {
  public:
   /// @param self  is never listed
-  /// @param alive_for  a balancer counts as alive this long after it was heard, at least; longer
+  /// @param alive_timeout  a balancer counts as alive this long after it was heard, at least;
+  /// longer
   ///                   where many are known, as news of each come less often
-  BalancerList(const base::SocketAddress& self, base::Duration alive_for)
-      : m_self(self), m_alive_for(alive_for) {}
+  BalancerList(const base::SocketAddress& self, base::Duration alive_timeout)
+      : m_self(self), m_alive_timeout(alive_timeout) {}
 
   /// Sets the addresses that are asked for as long as nobody else answers.
   void SetSeeds(std::vector<base::SocketAddress> seeds) { m_seeds = std::move(seeds); }
@@ -45,10 +46,10 @@
   void ForgetSilent(base::Duration silence, base::TimePoint now);
 
  private:
-  base::Duration AliveFor() const;
+  base::Duration AliveTimeout() const;
 
   base::SocketAddress m_self;
-  base::Duration m_alive_for;
+  base::Duration m_alive_timeout;
   std::vector<base::SocketAddress> m_seeds;
   // In order: draws from the list are the same for the same random numbers.
   std::map<base::SocketAddress, base::TimePoint> m_heard_at;
--- a/libs/placement/include/gaugevalve/placement/dead_flow_queue.h
+++ b/libs/placement/include/gaugevalve/placement/dead_flow_queue.h
@@ -28,7 +28,7 @@
   static constexpr std::size_t kLimit = 16'384;
   /// Resets in one TakeBatch(). Taken 20 times a second these are 4,000 resets of 36 bytes, 1.2
   /// Mbit/s: an eighth of the narrowest links in use.
-  static constexpr std::size_t kAtOnce = 200;
+  static constexpr std::size_t kMaxBatchSize = 200;
 
   /// @return  false where there is no room
   bool Add(const DeadFlow& dead);
--- a/libs/placement/include/gaugevalve/placement/flow_hash.h
+++ b/libs/placement/include/gaugevalve/placement/flow_hash.h
@@ -19,8 +19,8 @@
 
 /// Tells whether usual decisions about this flow are logged: the same flows on every node.
 inline bool IsSampled(const FlowKey& flow) {
-  constexpr std::uint64_t kOneIn = 64;
-  return FlowHash(flow) % kOneIn == 0;
+  constexpr std::uint64_t kSamplingInterval = 64;
+  return FlowHash(flow) % kSamplingInterval == 0;
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/flow_preference.h
+++ b/libs/placement/include/gaugevalve/placement/flow_preference.h
@@ -15,12 +15,12 @@
 /// Endpoints of each zone and service in one tier of a flow's order. Eight: with the endpoints of
 /// seven zones it fills one search's route, and at a load of 0.7 all eight of a zone are busy for
 /// one opening in 17 (0.7^8), which goes to another zone then.
-inline constexpr std::size_t kPreferencePerZone = 8;
+inline constexpr std::size_t kPreferredPerZone = 8;
 
 /// An agent's place in a flow's order.
 struct RankedAgent {
   KnownAgent* agent = nullptr;
-  std::size_t tier = 0;    ///< 0: the first kPreferencePerZone of its zone and service, and so on
+  std::size_t tier = 0;    ///< 0: the first kPreferredPerZone of its zone and service, and so on
   std::uint64_t hash = 0;  ///< of flow and agent: the order within a zone
 };
 
@@ -33,7 +33,8 @@
 /// @return  all of `agents`, by service, zone and place
 std::vector<RankedAgent> RankForFlow(std::uint64_t flow_hash, std::span<KnownAgent* const> agents);
 
-/// Returns the agents of the first tier: up to kPreferencePerZone of each zone and service.
-std::vector<KnownAgent*> FirstForFlow(std::uint64_t flow_hash, std::span<KnownAgent* const> agents);
+/// Returns the agents of the first tier: up to kPreferredPerZone of each zone and service.
+std::vector<KnownAgent*> PreferredForFlow(std::uint64_t flow_hash,
+                                          std::span<KnownAgent* const> agents);
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/flow_snapshot.h
+++ b/libs/placement/include/gaugevalve/placement/flow_snapshot.h
@@ -50,9 +50,9 @@
  public:
   /// A client takes a reset within some ten thousand bytes of what it has acknowledged; that is
   /// some forty answers of 2 KB.
-  static constexpr base::Duration kLongest = std::chrono::seconds(15);
+  static constexpr base::Duration kMaxInterval = std::chrono::seconds(15);
   /// One in so many flows must be new for a snapshot before that.
-  static constexpr std::size_t kNewPart = 5;
+  static constexpr std::size_t kNewFlowDivisor = 5;
 
   /// All balancers together write four times a second: a third of a percent of the calls that a
   /// store of 1,200 writes a second takes, however many balancers there are.
@@ -78,7 +78,7 @@
 class FlowRecovery {
  public:
   /// A snapshot is of use for so long after the start: by then clients have sent, or given up.
-  static constexpr base::Duration kUseful = std::chrono::seconds(15);
+  static constexpr base::Duration kSnapshotLifetime = std::chrono::seconds(15);
   /// An announcement may be late and of an older incarnation. An agent is believed that another
   /// incarnation has taken the saved one's place when that started later by what both say; when it
   /// has announced itself twice; or when the endpoint has given back so many different flows that
@@ -111,7 +111,7 @@
   std::size_t Size() const { return m_flows.size(); }
 
  private:
-  bool IsBelieved(const base::SocketAddress& agent, const AgentReport& report) const;
+  bool IsIncarnationConfirmed(const base::SocketAddress& agent, const AgentReport& report) const;
 
   std::optional<base::TimePoint> m_taken_at;
   absl::flat_hash_map<FlowKey, SavedFlow> m_flows;
--- a/libs/placement/include/gaugevalve/placement/forward_header.h
+++ b/libs/placement/include/gaugevalve/placement/forward_header.h
@@ -50,9 +50,9 @@
   bool has_route = false;    ///< a SearchRoute follows
   bool must_accept = false;  ///< no endpoint is free: take the opening packet in spite of the load
   /// For must_accept in a kForward: with so many requests at the endpoint the flow would come too
-  /// late, so that the opening is given back all the same; 0 for no limit, at most kLargestLimit.
+  /// late, so that the opening is given back all the same; 0 for no limit, at most kMaxBusyLimit.
   std::uint8_t busy_limit = 0;
-  static constexpr std::uint8_t kLargestLimit = 127;
+  static constexpr std::uint8_t kMaxBusyLimit = 127;
   std::uint8_t attempt = 0;                   ///< how often this packet has been passed on
   ReturnReason reason = ReturnReason::kNone;  ///< of a kReturned
   base::ServiceId service;
--- a/libs/placement/include/gaugevalve/placement/report_schedule.h
+++ b/libs/placement/include/gaugevalve/placement/report_schedule.h
@@ -26,7 +26,7 @@
 class ReportSchedule {
  public:
   /// The least time between two reports to one balancer.
-  static constexpr base::Duration kShortestPeriod = std::chrono::milliseconds(200);
+  static constexpr base::Duration kMinPeriod = std::chrono::milliseconds(200);
 
   /// @param balancers  that the agent reports to
   /// @param agents  that each of them hears
@@ -39,7 +39,7 @@
 
   /// Returns whether the present round is over.
   bool IsRoundDue(base::TimePoint now) const {
-    return now - m_round_at >= m_period && m_told == m_round.size();
+    return now - m_round_at >= m_period && m_reported_count == m_round.size();
   }
 
   /// Notes that a round begins in which all balancers are told at once.
@@ -73,8 +73,8 @@
   static constexpr base::Duration kAnswerPeriod = std::chrono::milliseconds(100);
 
   struct User {
-    base::TimePoint told_at{};
-    bool is_waiting = false;
+    base::TimePoint reported_at{};
+    bool is_due = false;
   };
 
   base::Duration NextPeriod(std::size_t balancers, base::TimePoint now);
@@ -82,10 +82,10 @@
   std::size_t m_agents = 0;
   base::Duration m_period{0};
   base::TimePoint m_round_at{};
-  base::TimePoint m_all_told_at{};           // at once, in a round that wasn't spread
+  base::TimePoint m_all_reported_at{};       // at once, in a round that wasn't spread
   std::vector<base::SocketAddress> m_round;  // balancers of a spread round, in order
-  std::size_t m_told = 0;                    // of them
-  bool m_tells_all = false;                  // the round begins by telling all at once
+  std::size_t m_reported_count = 0;          // of them
+  bool m_reports_to_all = false;             // the round begins by telling all at once
   base::RateBudget m_answers{kAnswersPerPeriod, kAnswerPeriod};
   std::optional<base::TimePoint> m_first_round_at;
   absl::flat_hash_map<base::SocketAddress, User> m_users;  // since the last round
--- a/libs/placement/include/gaugevalve/placement/store_reader_role.h
+++ b/libs/placement/include/gaugevalve/placement/store_reader_role.h
@@ -37,12 +37,12 @@
 
   /// Notes that a peer knows no newer configuration than this balancer, and heard of the store
   /// `age` before it said so.
-  void NotePeer(base::Duration age, base::TimePoint now) { NoteHeard(now - age - kHopTime); }
+  void NotePeer(base::Duration age, base::TimePoint now) { NoteHeard(now - age - kHopAllowance); }
 
   /// Counted for the way of each greeting, though most take a few milliseconds: where it were less
   /// than a greeting waits on a busy machine, knowledge that goes round among peers would never
   /// age.
-  static constexpr base::Duration kHopTime = std::chrono::milliseconds(200);
+  static constexpr base::Duration kHopAllowance = std::chrono::milliseconds(200);
 
   /// Notes that the store has refused a call, or not answered it.
   void NoteFailure(std::span<const BalancerAge> others, base::TimePoint now);
@@ -57,7 +57,7 @@
   bool IsStale(base::TimePoint now) const;
 
   /// Returns whether peers are to be told of the last contact, and counts them as told.
-  bool TakeNews();
+  bool TakeContactUpdate();
 
   /// Returns how long a watch may wait in a deployment of few readers.
   base::Duration WatchTimeout() const;
@@ -70,9 +70,10 @@
   base::RandomSource& m_random;
   base::TimePoint m_started_at;
   std::optional<base::TimePoint> m_heard_at;
-  std::optional<base::TimePoint> m_passed_on;     // the contact that peers were last told of
+  std::optional<base::TimePoint>
+      m_last_gossiped_contact;                    // the contact that peers were last told of
   std::optional<base::TimePoint> m_take_over_at;  // while the knowledge is too old
-  base::TimePoint m_resting_until{};              // after a failure
+  base::TimePoint m_backoff_until{};              // after a failure
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -10,32 +10,32 @@
 
 constexpr base::Duration kSweepPeriod = std::chrono::seconds(1);
 // Ticks come several times a second; between two that are further apart the process stood still.
-constexpr base::Duration kLongestGap = std::chrono::seconds(1);
+constexpr base::Duration kMaxTickGap = std::chrono::seconds(1);
 // How long a balancer that has just started waits for agents that nobody has named, though there
 // are said to be more: the number may be old, and any agent that lives has been in some agent's
 // list or had its turn to report by then, but for a few in a hundred.
-constexpr base::Duration kUnnamedLimit = std::chrono::milliseconds(2000);
+constexpr base::Duration kUnnamedAgentsTimeout = std::chrono::milliseconds(2000);
 // Datagrams that waited meanwhile have all been read by then.
-constexpr base::Duration kWakingTime = std::chrono::milliseconds(500);
+constexpr base::Duration kResumeGracePeriod = std::chrono::milliseconds(500);
 // A copy of a packet makes its agent a suspect if it hasn't been heard for so long: those that are
 // used tell of their load four times a second.
-constexpr base::Duration kQuietTime = std::chrono::milliseconds(300);
+constexpr base::Duration kSuspectAfterSilence = std::chrono::milliseconds(300);
 // A suspect that answers nothing for this part of the silence limit is no longer taken for the
 // holder of a flow. Half: restarted agents were back within 0.57 s, by plan, and 0.85 s after total
 // stops (logs, docs/design/0018 and AgentQuestions::kRetryPause), and each client
 // of a flow that has gone waits for it.
-constexpr int kSuspectPart = 2;
+constexpr int kSuspectLimitDivisor = 2;
 
 // How many questions to a suspect take that long.
-unsigned SuspectQuestions(base::Duration silence_limit) {
-  constexpr unsigned kLeast = 4;  // some may be lost
+unsigned SuspectQueries(base::Duration silence_limit) {
+  constexpr unsigned kMinQueries = 4;  // some may be lost
   const auto count =
-      static_cast<unsigned>(silence_limit / kSuspectPart / AgentQuestions::kRetryPause);
-  return std::max(kLeast, count);
+      static_cast<unsigned>(silence_limit / kSuspectLimitDivisor / AgentQuestions::kRetryPause);
+  return std::max(kMinQueries, count);
 }
 
 // Added to the idle time-out, by which clients and endpoints may differ.
-constexpr base::Duration kIdleSlack = std::chrono::seconds(3);
+constexpr base::Duration kIdleTimeoutMargin = std::chrono::seconds(3);
 // Past services that are remembered for an address.
 constexpr std::size_t kPastServiceLimit = 8;
 
@@ -64,10 +64,10 @@
     : m_settings(std::move(settings)),
       m_random(random),
       m_agents(m_settings.agent_limit, m_settings.report_lifetime),
-      m_suspects(SuspectQuestions(m_settings.silence_limit)),
+      m_suspects(SuspectQueries(m_settings.silence_limit)),
       m_chooser(m_settings.zone, random),
       m_started_at(now),
-      m_swept_at(now) {}
+      m_last_sweep_at(now) {}
 
 bool BalancerCore::SetRoutes(RouteTable routes) {
   if (routes.version <= m_routes.version) {
@@ -96,9 +96,9 @@
   services.insert(services.end(), present.begin(), present.end());
 }
 
-void BalancerCore::NoticePause(base::TimePoint now) {
+void BalancerCore::DetectPause(base::TimePoint now) {
   const base::Duration gap = m_ticked_at ? now - *m_ticked_at : base::Duration(0);
-  if (gap <= kLongestGap) {
+  if (gap <= kMaxTickGap) {
     return;
   }
   m_ticked_at = now;
@@ -110,20 +110,20 @@
   m_new_suspects.clear();
 }
 
-bool BalancerCore::HasJustWoken(base::TimePoint now) {
-  NoticePause(now);
-  return now - m_started_at < kWakingTime;
+bool BalancerCore::HasJustResumed(base::TimePoint now) {
+  DetectPause(now);
+  return now - m_started_at < kResumeGracePeriod;
 }
 
 BalancerDecision BalancerCore::OnClientPacket(const FlowPacket& packet, base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   if (m_routes.version == 0) {
     return Drop(BalancerReason::kNoRoutes);
   }
-  return packet.is_opening ? OnOpening(packet, now) : OnLater(packet, now);
+  return packet.is_opening ? OnOpening(packet, now) : OnLaterPacket(packet, now);
 }
 
-BalancerDecision BalancerCore::OnLater(const FlowPacket& packet, base::TimePoint now) {
+BalancerDecision BalancerCore::OnLaterPacket(const FlowPacket& packet, base::TimePoint now) {
   const Route* route = m_routes.Find(packet.flow.destination);
   const auto found = m_flows.find(packet.flow);
   const bool is_known = found != m_flows.end() && found->second.agent != base::SocketAddress();
@@ -135,10 +135,10 @@
     m_flows.erase(found);
     return Reset(BalancerReason::kRouteRemoved, packet);
   }
-  FlowRecord& record = *Remember(packet.flow);
+  FlowRecord& record = *FindOrAddRecord(packet.flow);
   record.last_packet = now;
   record.priority = route->request_class.priority;
-  NoteOpen(record);
+  MarkOpen(record);
   NoteData(packet, record, now);
   if (is_known && IsSearchLost(record, now)) {
     SuspectRoute(record, now);
@@ -151,7 +151,7 @@
   if (is_known) {
     AddOnce(record.refused, record.agent);
     record.is_confirmed = false;
-  } else if (RecallHolder(packet.flow, record, now)) {
+  } else if (FindSavedHolder(packet.flow, record, now)) {
     return ForwardTo(record, BalancerReason::kRemembered, 0);
   }
   return Search(packet, *route, record, 0, now);
@@ -164,7 +164,7 @@
 }
 
 // Whether the agent's endpoint admits new flows and its zone isn't evacuated.
-bool BalancerCore::TakesNewFlows(const KnownAgent& agent) const {
+bool BalancerCore::AdmitsNewFlows(const KnownAgent& agent) const {
   return agent.report.standing == EndpointStanding::kAdmitting &&
          !m_evacuated.Has(agent.report.zone);
 }
@@ -212,13 +212,13 @@
   if (packet.data_size == 0) {
     return;
   }
-  record.data_at = now;
+  record.last_data_at = now;
   const bool is_copy = record.has_data && record.data_sequence == packet.sequence;
   record.has_data = true;
   record.data_sequence = packet.sequence;
   const KnownAgent* agent = is_copy ? m_agents.Find(record.agent) : nullptr;
   if (agent != nullptr) {
-    Suspect(*agent, now - kQuietTime, now);
+    Suspect(*agent, now - kSuspectAfterSilence, now);
   }
 }
 
@@ -228,15 +228,15 @@
   if (route == nullptr || !record.is_open || record.is_searching || !IsGivenUp(record, now)) {
     return false;
   }
-  const base::Duration patience =
+  const base::Duration reset_delay =
       std::max<base::Duration>(route->request_class.time_limit, m_settings.silence_limit / 2);
-  return now - record.data_at > patience;
+  return now - record.last_data_at > reset_delay;
 }
 
 // Flows whose clients are silent are reset once their agent is given up, as those are whose clients
 // send: what is sent on them later would be lost. An agent that is only cut off may be given up as
 // well, and then its idle flows are opened anew elsewhere; answers under way are waited for.
-void BalancerCore::NoteDeadFlows(base::TimePoint now) {
+void BalancerCore::QueueFlowsOfLostAgents(base::TimePoint now) {
   if (IsLearning(now)) {
     return;
   }
@@ -259,7 +259,7 @@
   m_agents.TakeLoad(address, notice, now);
 }
 
-void BalancerCore::NoteOpen(FlowRecord& record) {
+void BalancerCore::MarkOpen(FlowRecord& record) {
   if (!record.is_open) {
     record.is_open = true;
     // Who refused the opening may have taken a copy of it that came another way.
@@ -270,12 +270,12 @@
 
 ReportOutcome BalancerCore::OnReport(const base::SocketAddress& address, const AgentReport& report,
                                      base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   m_discovery.NoteHeard(address);
   m_suspects.NoteHeard(address);
   m_discovery.NoteAgentCount(report.agent_count);
   const ReportOutcome outcome = m_agents.Take(address, report, now);
-  TellDead(address);
+  QueueFlowsOfDeadIncarnations(address);
   return outcome;
 }
 
@@ -293,7 +293,8 @@
     return false;
   }
   const base::Duration age = now - m_started_at;
-  const base::Duration limit = m_discovery.IsWaiting() ? m_settings.silence_limit : kUnnamedLimit;
+  const base::Duration limit =
+      m_discovery.IsWaiting() ? m_settings.silence_limit : kUnnamedAgentsTimeout;
   const bool may_miss_some =
       m_discovery.HasCount() && age < limit && !m_discovery.IsComplete(m_agents.HeardCount());
   m_has_learned = age >= m_settings.learning_time && !may_miss_some;
@@ -320,29 +321,29 @@
   return decision;
 }
 
-BalancerCore::FlowRecord* BalancerCore::Remember(const FlowKey& flow) {
+BalancerCore::FlowRecord* BalancerCore::FindOrAddRecord(const FlowKey& flow) {
   const auto found = m_flows.find(flow);
   if (found != m_flows.end()) {
     return &found->second;
   }
   if (m_flows.size() >= m_settings.flow_limit) {
-    m_overflow = {};  // forgotten after this packet
-    return &m_overflow;
+    m_overflow_record = {};  // forgotten after this packet
+    return &m_overflow_record;
   }
   return &m_flows[flow];
 }
 
 void BalancerCore::Tick(base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   m_ticked_at = now;
-  if (now - m_swept_at < kSweepPeriod) {
+  if (now - m_last_sweep_at < kSweepPeriod) {
     return;
   }
-  m_swept_at = now;
+  m_last_sweep_at = now;
   const base::Duration idle =
-      std::min(m_settings.flow_retention, m_routes.idle_timeout + kIdleSlack);
+      std::min(m_settings.flow_retention, m_routes.idle_timeout + kIdleTimeoutMargin);
   absl::erase_if(m_flows, [&](const auto& entry) { return now - entry.second.last_packet > idle; });
-  NoteDeadFlows(now);
+  QueueFlowsOfLostAgents(now);
   m_recovery.Tick(now);
   m_agents.ForgetSilent(m_settings.flow_retention, now);
   const auto is_gone = [this](const base::SocketAddress& agent) {
--- a/libs/placement/src/balancer_gossip.cpp
+++ b/libs/placement/src/balancer_gossip.cpp
@@ -13,27 +13,27 @@
 constexpr base::Duration kJoiningTime = std::chrono::seconds(5);
 // A balancer that has just started asks for everything until no listing has named anybody new for
 // so long: more than a round of peers. Each listing names the whole fleet.
-constexpr base::Duration kNewsTime = std::chrono::milliseconds(1500);
-constexpr base::Duration kAliveFor = std::chrono::milliseconds(4000);
+constexpr base::Duration kFullListingQuietPeriod = std::chrono::milliseconds(1500);
+constexpr base::Duration kAliveTimeout = std::chrono::milliseconds(4000);
 constexpr base::Duration kForgetAfter = std::chrono::seconds(60);
 // Seeds are written to as well until this many others are alive.
-constexpr std::size_t kEnoughBalancers = 8;
+constexpr std::size_t kMinAliveWithoutSeeds = 8;
 // Peers greeted in a round, and told of a new configuration. Six more for each that hears it reach
 // all of some hundreds within three steps.
 constexpr std::size_t kPeersPerRound = 3;
-constexpr std::size_t kPeersToldNews = 6;
+constexpr std::size_t kPeersNotifiedOfChange = 6;
 // Peers told of a contact with the store: two each reach most of all within some steps, and the
 // rounds the others.
-constexpr std::size_t kPeersToldContact = 2;
+constexpr std::size_t kPeersNotifiedOfContact = 2;
 // What a round's greeting lists of each kind.
 constexpr std::size_t kSampleSize = 8;
 // What each datagram of a whole listing holds; it stays below 1,400 bytes.
-constexpr std::size_t kListingSize = 45;
+constexpr std::size_t kListingPartSize = 45;
 // A balancer that has just started asks this many peers for everything they know.
-constexpr unsigned kListingsAsked = 4;
+constexpr unsigned kMaxFullListingRequests = 4;
 // Agents asked at a tick for the others they know, while some that are said to be there have not
 // been named: their first answers may have been lost, or held back as too many asked.
-constexpr std::size_t kAgentsAskedAgain = 4;
+constexpr std::size_t kAgentsRequeriedPerTick = 4;
 // Agents and balancers that a greeting of an agent lists.
 constexpr std::size_t kAgentsForAgent = 4;
 constexpr std::size_t kBalancersForAgent = 6;
@@ -59,10 +59,10 @@
     : m_life(life),
       m_core(core),
       m_random(random),
-      m_balancers(self, kAliveFor),
+      m_balancers(self, kAliveTimeout),
       m_reader(self, reader, random, now),
       m_started_at(now),
-      m_news_at(now) {}
+      m_last_new_node_at(now) {}
 
 std::vector<OutgoingGreeting> BalancerGossip::OnGreeting(const BalancerGreeting& greeting,
                                                          const base::SocketAddress& sender,
@@ -81,18 +81,18 @@
   AskListed(greeting.agents, now, greetings);
   const bool names_agents = m_core.Agents().Size() > agents_before;
   if (is_new || names_agents || !greetings.empty()) {
-    m_news_at = now;
+    m_last_new_node_at = now;
   }
   if (m_core.ApplyEvacuatedZones(greeting.evacuated)) {
-    TellSomePeers(kPeersToldNews, now, greetings);
+    NotifyRandomPeers(kPeersNotifiedOfChange, now, greetings);
   }
-  const bool is_timely = !m_core.HasJustWoken(now);
+  const bool is_timely = !m_core.HasJustResumed(now);
   if (greeting.store_age && is_timely && greeting.routes_version <= m_core.Routes().version) {
     m_reader.NotePeer(*greeting.store_age, now);
-    PassOnContact(now, greetings);
+    GossipStoreContact(now, greetings);
   }
   if (greeting.wants_answer) {
-    AnswerWithAll(sender, now, greetings);
+    SendFullListing(sender, now, greetings);
   }
   return greetings;
 }
@@ -128,7 +128,7 @@
 }
 
 OutgoingGreeting BalancerGossip::GreetNewAgent(const KnownAgent& agent, base::TimePoint now) {
-  OutgoingGreeting welcome{agent.address, ForAgent(agent, now)};
+  OutgoingGreeting welcome{agent.address, GreetingForAgent(agent, now)};
   const bool asks = m_core.IsLearning(now) &&
                     m_core.Discovery().TakeFellowsQuestion(m_core.Agents().HeardCount());
   welcome.greeting.wants_answer = asks;
@@ -142,10 +142,10 @@
 
 std::vector<OutgoingGreeting> BalancerGossip::OnNewRoutes(bool is_first, base::TimePoint now) {
   std::vector<OutgoingGreeting> greetings;
-  TellSomePeers(kPeersToldNews, now, greetings);
+  NotifyRandomPeers(kPeersNotifiedOfChange, now, greetings);
   if (is_first) {
     for (const KnownAgent* agent : m_core.Agents().All()) {
-      greetings.push_back({agent->address, ForAgent(*agent, now)});
+      greetings.push_back({agent->address, GreetingForAgent(*agent, now)});
     }
   }
   return greetings;
@@ -162,7 +162,7 @@
 // Asks for a report, and says what the agent needs for the flows that may follow.
 OutgoingGreeting BalancerGossip::AskAgent(const base::SocketAddress& address,
                                           base::TimePoint now) const {
-  OutgoingGreeting question{address, Brief(true, now)};
+  OutgoingGreeting question{address, GreetingWithoutLists(true, now)};
   const KnownAgent* agent = m_core.Agents().Find(address);
   if (agent != nullptr) {
     question.greeting.warm_up = m_core.Routes().FindWarmUpRate(agent->report.service);
@@ -172,31 +172,32 @@
 
 std::vector<OutgoingGreeting> BalancerGossip::OnEvacuation(base::TimePoint now) {
   std::vector<OutgoingGreeting> greetings;
-  TellSomePeers(kPeersToldNews, now, greetings);
+  NotifyRandomPeers(kPeersNotifiedOfChange, now, greetings);
   return greetings;
 }
 
-void BalancerGossip::TellSomePeers(std::size_t count, base::TimePoint now,
-                                   std::vector<OutgoingGreeting>& greetings) {
+void BalancerGossip::NotifyRandomPeers(std::size_t count, base::TimePoint now,
+                                       std::vector<OutgoingGreeting>& greetings) {
   for (const BalancerAge& peer : Sample(m_balancers.Alive(now), count, m_random)) {
-    greetings.push_back({peer.address, Brief(false, now)});
+    greetings.push_back({peer.address, GreetingWithoutLists(false, now)});
   }
 }
 
 OutgoingGreeting BalancerGossip::Ask(const base::SocketAddress& node, base::TimePoint now) {
-  const bool wants_answer = m_asked_for_all < kListingsAsked;
-  m_asked_for_all += wants_answer ? 1 : 0;
-  return {node, Sampled(wants_answer, now)};
+  const bool wants_answer = m_full_listings_requested < kMaxFullListingRequests;
+  m_full_listings_requested += wants_answer ? 1 : 0;
+  return {node, GreetingWithSamples(wants_answer, now)};
 }
 
 std::vector<OutgoingGreeting> BalancerGossip::PeerRound(base::TimePoint now) {
   // Peers that were asked first may have been as young as this balancer.
-  const bool is_joining = now - m_started_at < kJoiningTime && now - m_news_at < kNewsTime;
+  const bool is_joining =
+      now - m_started_at < kJoiningTime && now - m_last_new_node_at < kFullListingQuietPeriod;
   const bool wants_all = is_joining || m_balancers.Alive(now).empty();
   std::vector<OutgoingGreeting> greetings;
   for (const base::SocketAddress& peer :
-       Sample(m_balancers.Targets(kEnoughBalancers, now), kPeersPerRound, m_random)) {
-    greetings.push_back({peer, Sampled(wants_all, now)});
+       Sample(m_balancers.Targets(kMinAliveWithoutSeeds, now), kPeersPerRound, m_random)) {
+    greetings.push_back({peer, GreetingWithSamples(wants_all, now)});
   }
   return greetings;
 }
@@ -212,7 +213,7 @@
   const std::size_t share = (agents.size() * kGreetingsPerAgent + balancers - 1) / balancers;
   std::vector<OutgoingGreeting> greetings;
   for (const KnownAgent* agent : Sample(agents, share, m_random)) {
-    greetings.push_back({agent->address, ForAgent(*agent, now)});
+    greetings.push_back({agent->address, GreetingForAgent(*agent, now)});
   }
   return greetings;
 }
@@ -224,26 +225,28 @@
     greetings.push_back(AskAgent(agent, now));
   }
   if (m_core.IsLearning(now) && m_core.Discovery().MissesNames(m_core.Agents().HeardCount())) {
-    for (const ListedAgent& agent : Sample(ListAgents(), kAgentsAskedAgain, m_random)) {
-      greetings.push_back({agent.address, Brief(true, now)});
+    for (const ListedAgent& agent : Sample(ListAgents(), kAgentsRequeriedPerTick, m_random)) {
+      greetings.push_back({agent.address, GreetingWithoutLists(true, now)});
       greetings.back().greeting.wants_fellows = true;
     }
   }
-  PassOnContact(now, greetings);
+  GossipStoreContact(now, greetings);
   return greetings;
 }
 
 // Tells a few peers that the store was heard; they do the same.
-void BalancerGossip::PassOnContact(base::TimePoint now, std::vector<OutgoingGreeting>& greetings) {
+void BalancerGossip::GossipStoreContact(base::TimePoint now,
+                                        std::vector<OutgoingGreeting>& greetings) {
   const std::vector<BalancerAge> alive = m_balancers.Alive(now);
-  if (alive.size() < StoreReaderRole::kReaders || !m_reader.TakeNews()) {
+  if (alive.size() < StoreReaderRole::kReaders || !m_reader.TakeContactUpdate()) {
     return;
   }
-  TellSomePeers(kPeersToldContact, now, greetings);
+  NotifyRandomPeers(kPeersNotifiedOfContact, now, greetings);
 }
 
 // Without any list: for news.
-BalancerGreeting BalancerGossip::Brief(bool wants_answer, base::TimePoint now) const {
+BalancerGreeting BalancerGossip::GreetingWithoutLists(bool wants_answer,
+                                                      base::TimePoint now) const {
   BalancerGreeting greeting;
   greeting.life = m_life;
   greeting.routes_version = m_core.Routes().version;
@@ -255,15 +258,16 @@
   return greeting;
 }
 
-BalancerGreeting BalancerGossip::Sampled(bool wants_answer, base::TimePoint now) {
-  BalancerGreeting greeting = Brief(wants_answer, now);
+BalancerGreeting BalancerGossip::GreetingWithSamples(bool wants_answer, base::TimePoint now) {
+  BalancerGreeting greeting = GreetingWithoutLists(wants_answer, now);
   greeting.balancers = Sample(m_balancers.Alive(now), kSampleSize, m_random);
   greeting.agents = Sample(ListAgents(), kSampleSize, m_random);
   return greeting;
 }
 
-BalancerGreeting BalancerGossip::ForAgent(const KnownAgent& agent, base::TimePoint now) const {
-  BalancerGreeting greeting = Brief(false, now);
+BalancerGreeting BalancerGossip::GreetingForAgent(const KnownAgent& agent,
+                                                  base::TimePoint now) const {
+  BalancerGreeting greeting = GreetingWithoutLists(false, now);
   greeting.balancers = Sample(m_balancers.Alive(now), kBalancersForAgent, m_random);
   greeting.agents = Sample(ListAgents(), kAgentsForAgent, m_random);
   greeting.warm_up = m_core.Routes().FindWarmUpRate(agent.report.service);
@@ -278,20 +282,21 @@
   return greeting;
 }
 
-void BalancerGossip::AnswerWithAll(const base::SocketAddress& receiver, base::TimePoint now,
-                                   std::vector<OutgoingGreeting>& greetings) {
+void BalancerGossip::SendFullListing(const base::SocketAddress& receiver, base::TimePoint now,
+                                     std::vector<OutgoingGreeting>& greetings) {
   const std::vector<BalancerAge> balancers = m_balancers.Alive(now);
   const std::vector<ListedAgent> agents = ListAgents();
   const std::size_t most = std::max(balancers.size(), agents.size());
-  if (!m_listings.Take(now, most / kListingSize + 1)) {
-    greetings.push_back({receiver, Sampled(false, now)});  // others are named, who can be asked
+  if (!m_listings.Take(now, most / kListingPartSize + 1)) {
+    greetings.push_back(
+        {receiver, GreetingWithSamples(false, now)});  // others are named, who can be asked
     return;
   }
-  for (std::size_t first = 0; first == 0 || first < most; first += kListingSize) {
-    BalancerGreeting part = Brief(false, now);
+  for (std::size_t first = 0; first == 0 || first < most; first += kListingPartSize) {
+    BalancerGreeting part = GreetingWithoutLists(false, now);
     const auto take = [first](const auto& from, auto& to) {
       const std::size_t begin = std::min(first, from.size());
-      const std::size_t end = std::min(first + kListingSize, from.size());
+      const std::size_t end = std::min(first + kListingPartSize, from.size());
       to.assign(from.begin() + static_cast<std::ptrdiff_t>(begin),
                 from.begin() + static_cast<std::ptrdiff_t>(end));
     };
--- a/libs/placement/src/balancer_list.cpp
+++ b/libs/placement/src/balancer_list.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 // Gossip renews what is known of one of this many balancers at least once in this time for each.
-constexpr base::Duration kAliveForEach = std::chrono::milliseconds(100);
+constexpr base::Duration kAliveTimePerBalancer = std::chrono::milliseconds(100);
 
 }  // namespace
 
-base::Duration BalancerList::AliveFor() const {
-  return std::max(m_alive_for, kAliveForEach * static_cast<int>(m_heard_at.size()));
+base::Duration BalancerList::AliveTimeout() const {
+  return std::max(m_alive_timeout, kAliveTimePerBalancer * static_cast<int>(m_heard_at.size()));
 }
 
 bool BalancerList::Note(const base::SocketAddress& address, base::Duration age,
@@ -21,9 +21,9 @@
   }
   const base::TimePoint heard_at = now - age;
   const auto [entry, is_new] = m_heard_at.try_emplace(address, heard_at);
-  const bool was_alive = !is_new && now - entry->second <= AliveFor();
+  const bool was_alive = !is_new && now - entry->second <= AliveTimeout();
   entry->second = std::max(entry->second, heard_at);
-  return !was_alive && age <= AliveFor();
+  return !was_alive && age <= AliveTimeout();
 }
 
 std::vector<base::SocketAddress> BalancerList::Targets(std::size_t enough,
@@ -32,7 +32,7 @@
   std::size_t alive = 0;
   for (const auto& [address, heard_at] : m_heard_at) {
     targets.push_back(address);
-    alive += now - heard_at <= AliveFor() ? 1 : 0;
+    alive += now - heard_at <= AliveTimeout() ? 1 : 0;
   }
   if (alive >= enough) {
     return targets;
@@ -50,7 +50,7 @@
   std::vector<BalancerAge> alive;
   for (const auto& [address, heard_at] : m_heard_at) {
     const base::Duration age = now - heard_at;
-    if (age <= AliveFor()) {
+    if (age <= AliveTimeout()) {
       alive.push_back({address, age});
     }
   }
--- a/libs/placement/src/balancer_placement.cpp
+++ b/libs/placement/src/balancer_placement.cpp
@@ -15,20 +15,20 @@
 constexpr int kWaitPercent = 60;
 // After this many full endpoints, the least loaded by their reports, the others are likely full
 // too.
-constexpr std::size_t kMostBusyTries = 7;
+constexpr std::size_t kMaxBusyTries = 7;
 // Endpoints that an opening is offered to although they are full, one after the other.
-constexpr unsigned kMostForcedTries = 3;
+constexpr unsigned kMaxForcedTries = 3;
 // The part of openings that try an ejected endpoint, while there is one. Most are given back, which
 // costs them a millisecond or two. Chosen so that an endpoint of a busy service gets a trial within
 // a second or so; no other part was measured.
-constexpr double kTrialPart = 0.05;
+constexpr double kTrialFraction = 0.05;
 // For so long a balancer gives nothing to a cold endpoint that has just returned an opening. Its
 // agent counts over a second, so that much of a second's part is free again by then; chosen, not
 // measured against other pauses.
 constexpr base::Duration kWarmUpPause = std::chrono::milliseconds(100);
 // Copies that come later than this after an opening are its client's, which waited 200 ms for an
 // answer; others were doubled on their way.
-constexpr base::Duration kCopyTime = std::chrono::milliseconds(150);
+constexpr base::Duration kMinRetransmitDelay = std::chrono::milliseconds(150);
 
 // How long a new request of the priority would wait at an endpoint all of whose slots are in use.
 base::Duration ExpectedWait(const KnownAgent& agent, std::uint8_t priority) {
@@ -41,7 +41,7 @@
 }
 
 // Whether a new request on the route is likely to be answered in time at a full endpoint.
-bool IsWorthWaiting(const KnownAgent& agent, const Route& route) {
+bool WouldMeetTargetLatency(const KnownAgent& agent, const Route& route) {
   const base::Duration expected =
       ExpectedWait(agent, route.request_class.priority) + agent.report.load.answer_time;
   const base::Duration target = route.request_class.target_latency;
@@ -49,7 +49,7 @@
 }
 
 // The number of requests at an endpoint from which on a new one would come too late; see
-// IsWorthWaiting().
+// WouldMeetTargetLatency().
 std::uint8_t BusyLimit(const KnownAgent& agent, const Route& route) {
   const EndpointLoad& load = agent.report.load;
   const base::Duration target = route.request_class.target_latency;
@@ -60,7 +60,7 @@
   const base::Duration longest = target * kWaitPercent / 100 - load.answer_time;
   const std::int64_t ahead = std::max<std::int64_t>(0, longest * capacity / load.answer_time);
   return static_cast<std::uint8_t>(
-      std::clamp<std::int64_t>(capacity + ahead, 1, ForwardHeader::kLargestLimit));
+      std::clamp<std::int64_t>(capacity + ahead, 1, ForwardHeader::kMaxBusyLimit));
 }
 
 }  // namespace
@@ -70,7 +70,7 @@
   if (route == nullptr) {
     return Reset(BalancerReason::kNoRoute, packet);
   }
-  FlowRecord& record = *Remember(packet.flow);
+  FlowRecord& record = *FindOrAddRecord(packet.flow);
   record.last_packet = now;
   if (record.opening_sequence != packet.sequence) {
     record = {};
@@ -81,7 +81,7 @@
   const KnownAgent* agent = m_agents.Find(record.agent);
   const bool is_copy = agent != nullptr && agent->report.service == record.service;
   const bool is_lost = is_copy && IsOpeningLost(*agent, record, now);
-  const bool is_alive = is_copy && !is_lost && IsResponsive(*agent, now) && TakesNewFlows(*agent);
+  const bool is_alive = is_copy && !is_lost && IsResponsive(*agent, now) && AdmitsNewFlows(*agent);
   if (is_copy && (record.is_open || is_alive)) {
     return ForwardTo(record, BalancerReason::kRemembered, 0);
   }
@@ -97,7 +97,8 @@
 bool BalancerCore::IsOpeningLost(const KnownAgent& agent, const FlowRecord& record,
                                  base::TimePoint now) {
   const bool is_unheard = agent.unanswered_since && *agent.unanswered_since <= record.held_since;
-  return is_unheard && record.forced == 0 && now - record.held_since >= kCopyTime;
+  return is_unheard && record.must_accept_attempts == 0 &&
+         now - record.held_since >= kMinRetransmitDelay;
 }
 
 BalancerDecision BalancerCore::Place(const FlowPacket& packet, const Route& route,
@@ -108,9 +109,9 @@
     record.service = route.Choose(flow_hash);
   }
   const std::vector<KnownAgent*> untried =
-      FirstForFlow(flow_hash, Candidates(record, record.refused, now));
+      PreferredForFlow(flow_hash, Candidates(record, record.refused, now));
   KnownAgent* chosen =
-      record.busy.size() < kMostBusyTries ? m_chooser.Choose(untried, now) : nullptr;
+      record.busy.size() < kMaxBusyTries ? m_chooser.Choose(untried, now) : nullptr;
   if (chosen == nullptr) {
     return PlaceBusy(packet, route, record, attempt, now);
   }
@@ -136,7 +137,7 @@
     }
     if (agent->is_only_listed) {
       named.push_back(agent);
-    } else if (TakesNewFlows(*agent) && !agent->report.is_ejected) {
+    } else if (AdmitsNewFlows(*agent) && !agent->report.is_ejected) {
       (IsResponsive(*agent, now) ? fresh : stale).push_back(agent);
     }
   }
@@ -151,7 +152,7 @@
 }
 
 // A cold endpoint has got what it bears: others are asked at once, and it gets no more for a while.
-void BalancerCore::PassOver(const base::SocketAddress& address, base::TimePoint now) {
+void BalancerCore::PauseWarmingUpAgent(const base::SocketAddress& address, base::TimePoint now) {
   KnownAgent* agent = m_agents.Find(address);
   if (agent != nullptr) {
     agent->passed_over_until = now + kWarmUpPause;
@@ -178,28 +179,28 @@
       best = is_better ? agent : best;
     }
   }
-  if (best != nullptr && IsWorthWaiting(*best, route)) {
-    return ForwardForGood(*best, route, record, attempt, now);
+  if (best != nullptr && WouldMeetTargetLatency(*best, route)) {
+    return ForwardMustAccept(*best, route, record, attempt, now);
   }
   // An endpoint that fails some requests is better than none.
-  KnownAgent* ejected = m_chooser.Choose(Ejected(record, now), now);
-  if (ejected != nullptr && IsWorthWaiting(*ejected, route)) {
-    return ForwardForGood(*ejected, route, record, attempt, now);
+  KnownAgent* ejected = m_chooser.Choose(EjectedAgents(record, now), now);
+  if (ejected != nullptr && WouldMeetTargetLatency(*ejected, route)) {
+    return ForwardMustAccept(*ejected, route, record, attempt, now);
   }
-  const bool had_any = !record.refused.empty();
+  const bool was_refused = !record.refused.empty();
   m_flows.erase(packet.flow);
   if (best == nullptr && IsLearning(now)) {
     return Drop(BalancerReason::kNotSure);
   }
-  return Reset(had_any ? BalancerReason::kAllRefused : BalancerReason::kNoEndpoint, packet);
+  return Reset(was_refused ? BalancerReason::kAllRefused : BalancerReason::kNoEndpoint, packet);
 }
 
 // Passes an opening to an agent that has to take it, unless its queue, which only it knows exactly,
 // has become too long meanwhile.
-BalancerDecision BalancerCore::ForwardForGood(KnownAgent& agent, const Route& route,
-                                              FlowRecord& record, std::uint8_t attempt,
-                                              base::TimePoint now) {
-  ++record.forced;
+BalancerDecision BalancerCore::ForwardMustAccept(KnownAgent& agent, const Route& route,
+                                                 FlowRecord& record, std::uint8_t attempt,
+                                                 base::TimePoint now) {
+  ++record.must_accept_attempts;
   record.agent = agent.address;
   record.held_since = now;
   agent.placed_since_report += 1;
@@ -212,10 +213,10 @@
 
 // An endpoint whose queue had grown too long is passed over for the next one; any other return of
 // an opening that had to be accepted is final.
-BalancerDecision BalancerCore::OnForcedReturn(const FlowPacket& packet, const Route& route,
-                                              FlowRecord& record, const ForwardHeader& header,
-                                              base::TimePoint now) {
-  if (header.reason == ReturnReason::kBusy && record.forced < kMostForcedTries) {
+BalancerDecision BalancerCore::OnMustAcceptReturned(const FlowPacket& packet, const Route& route,
+                                                    FlowRecord& record, const ForwardHeader& header,
+                                                    base::TimePoint now) {
+  if (header.reason == ReturnReason::kBusy && record.must_accept_attempts < kMaxForcedTries) {
     std::erase(record.busy, record.agent);  // it is refused for good now
     return PlaceBusy(packet, route, record, static_cast<std::uint8_t>(header.attempt + 1), now);
   }
@@ -224,10 +225,11 @@
 }
 
 // The agents whose endpoints fail requests, that were heard lately and haven't refused the flow.
-std::vector<KnownAgent*> BalancerCore::Ejected(const FlowRecord& record, base::TimePoint now) {
+std::vector<KnownAgent*> BalancerCore::EjectedAgents(const FlowRecord& record,
+                                                     base::TimePoint now) {
   std::vector<KnownAgent*> ejected;
   for (KnownAgent* agent : m_agents.OfService(record.service)) {
-    const bool is_ejected = agent->report.is_ejected && TakesNewFlows(*agent);
+    const bool is_ejected = agent->report.is_ejected && AdmitsNewFlows(*agent);
     if (is_ejected && IsResponsive(*agent, now) && !Contains(record.refused, agent->address)) {
       ejected.push_back(agent);
     }
@@ -238,8 +240,8 @@
 // Now and then an opening goes to an ejected endpoint, whose agent takes one at a time as a trial
 // and gives the others back.
 KnownAgent* BalancerCore::TakeTrial(const FlowRecord& record, base::TimePoint now) {
-  const std::vector<KnownAgent*> ejected = Ejected(record, now);
-  if (ejected.empty() || m_random.NextUnit() >= kTrialPart) {
+  const std::vector<KnownAgent*> ejected = EjectedAgents(record, now);
+  if (ejected.empty() || m_random.NextUnit() >= kTrialFraction) {
     return nullptr;
   }
   return ejected[m_random.NextBelow(ejected.size())];
--- a/libs/placement/src/balancer_recovery.cpp
+++ b/libs/placement/src/balancer_recovery.cpp
@@ -11,7 +11,7 @@
 // A flow is saved together with the endpoint's incarnation once its agent has reported that so long
 // after the flow was opened: an incarnation that had just started by then would have announced
 // itself, though it may be seconds late.
-constexpr base::Duration kSettled = std::chrono::seconds(3);
+constexpr base::Duration kMinHeldTime = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     const KnownAgent* agent = m_agents.Find(record.agent);
     const bool is_usable = record.is_open && !record.is_searching && agent != nullptr &&
                            !agent->report.endpoint.IsEmpty() && !agent->report.wants_memory;
-    if (is_usable && agent->reported_at - record.held_since >= kSettled) {
+    if (is_usable && agent->reported_at - record.held_since >= kMinHeldTime) {
       const EndpointIncarnation& endpoint = agent->report.endpoint;
       open.push_back(
           {record.last_packet,
@@ -40,13 +40,13 @@
   for (std::size_t index = 0; index < count; ++index) {
     flows.push_back(open[index].saved);
   }
-  AddUnheard(flows);
+  AddUnseenSavedFlows(flows);
   return flows;
 }
 
 // Flows of the former life's snapshot whose clients haven't been heard since are saved again while
 // their endpoint lives: a balancer may be restarted shortly before everything stops.
-void BalancerCore::AddUnheard(std::vector<SavedFlow>& flows) {
+void BalancerCore::AddUnseenSavedFlows(std::vector<SavedFlow>& flows) {
   for (const SavedFlow& saved : m_recovery.Remaining()) {
     const KnownAgent* agent = m_agents.Find(saved.agent);
     const bool lives = agent != nullptr && !agent->report.wants_memory &&
@@ -60,12 +60,12 @@
 void BalancerCore::TakeSnapshot(std::span<const SavedFlow> flows, base::TimePoint now) {
   m_recovery.Take(flows, now);
   for (const KnownAgent* agent : m_agents.All()) {
-    TellDead(agent->address);
+    QueueFlowsOfDeadIncarnations(agent->address);
   }
 }
 
 // Hands out the flows that died with the endpoint beside the agent.
-void BalancerCore::TellDead(const base::SocketAddress& address) {
+void BalancerCore::QueueFlowsOfDeadIncarnations(const base::SocketAddress& address) {
   const KnownAgent* agent = m_agents.Find(address);
   if (m_recovery.Size() == 0 || agent == nullptr || agent->is_only_listed) {
     return;
@@ -81,19 +81,19 @@
 
 // Whether the flow, which the agent's endpoint gave back, is known to have died with the endpoint's
 // former incarnation. It is forgotten then.
-bool BalancerCore::DiedWithItsEndpoint(const FlowKey& flow, const base::SocketAddress& agent) {
+bool BalancerCore::DiedWithEndpoint(const FlowKey& flow, const base::SocketAddress& agent) {
   const SavedFlow* saved = m_recovery.Find(flow);
   if (saved == nullptr || saved->agent != agent) {
     return false;
   }
   m_recovery.NoteReturn(flow, agent);
-  TellDead(agent);
+  QueueFlowsOfDeadIncarnations(agent);
   return m_recovery.Find(flow) == nullptr;
 }
 
 // Whether the agent that held the flow before everything stopped is known; the record names it
 // then.
-bool BalancerCore::RecallHolder(const FlowKey& flow, FlowRecord& record, base::TimePoint now) {
+bool BalancerCore::FindSavedHolder(const FlowKey& flow, FlowRecord& record, base::TimePoint now) {
   const SavedFlow* saved = m_recovery.Find(flow);
   const KnownAgent* agent = saved == nullptr ? nullptr : m_agents.Find(saved->agent);
   if (agent == nullptr || !MayHoldFlows(*agent, now)) {
--- a/libs/placement/src/balancer_search.cpp
+++ b/libs/placement/src/balancer_search.cpp
@@ -13,20 +13,20 @@
 namespace {
 
 // A packet is passed on at most this often more than there are agents to ask.
-constexpr std::size_t kSparePasses = 8;
-constexpr std::size_t kMostPasses = 250;
+constexpr std::size_t kExtraPasses = 8;
+constexpr std::size_t kMaxPasses = 250;
 // Agents of services that aren't behind the route and may hold its flows all the same, for all that
 // is known: no more are asked for one flow, as a packet can be passed on 255 times. Where there are
 // more, a flow that isn't found is left alone instead of reset.
-constexpr std::size_t kMostUncertain = 192;
+constexpr std::size_t kMaxUncertainHolders = 192;
 // Clients send again after 200 ms; a search that takes this long has met an agent that has gone.
-constexpr base::Duration kSearchTime = std::chrono::milliseconds(150);
+constexpr base::Duration kSearchTimeout = std::chrono::milliseconds(150);
 
 }  // namespace
 
 // Whether a search's packet should have found the holder, or come back, by now.
 bool BalancerCore::IsSearchLost(const FlowRecord& record, base::TimePoint now) {
-  return record.is_searching && !record.is_confirmed && now - record.searched_at > kSearchTime;
+  return record.is_searching && !record.is_confirmed && now - record.searched_at > kSearchTimeout;
 }
 
 // Whether the agent's endpoint may hold flows of an address that its service isn't behind any more.
@@ -52,7 +52,7 @@
     }
   }
   const std::vector<KnownAgent*> others = HoldersOfOtherServices(route, now);
-  if (others.size() <= kMostUncertain) {
+  if (others.size() <= kMaxUncertainHolders) {
     holders.insert(holders.end(), others.begin(), others.end());
   }
   return holders;
@@ -70,8 +70,8 @@
 }
 
 // Whether a flow that nobody asked holds may be held by one of those who weren't asked.
-bool BalancerCore::MayBeAmongTooMany(const Route& route, base::TimePoint now) {
-  return HoldersOfOtherServices(route, now).size() > kMostUncertain;
+bool BalancerCore::HasTooManyPossibleHolders(const Route& route, base::TimePoint now) {
+  return HoldersOfOtherServices(route, now).size() > kMaxUncertainHolders;
 }
 
 // Orders agents for a search. Those that the flow prefers come first, the own zone's before others,
@@ -87,7 +87,7 @@
     bool is_later_tier;
     Rank rank;
     std::size_t tier;
-    bool is_far;
+    bool is_other_zone;
     std::uint64_t hash;
     KnownAgent* agent;
   };
@@ -105,7 +105,7 @@
   }
   std::sort(places.begin(), places.end(), [](const Place& left, const Place& right) {
     const auto key = [](const Place& place) {
-      return std::tie(place.is_later_tier, place.rank, place.tier, place.is_far, place.hash);
+      return std::tie(place.is_later_tier, place.rank, place.tier, place.is_other_zone, place.hash);
     };
     return key(left) < key(right);
   });
@@ -133,10 +133,10 @@
   // Agents that may be gone would end the packet's way: they are asked last, one by one.
   for (std::size_t index = 1; index < order.size(); ++index) {
     const KnownAgent& agent = *order[index];
-    const bool may_follow = IsResponsive(*order.front(), now) && IsResponsive(agent, now) &&
-                            agent.report.standing != EndpointStanding::kStopping &&
-                            agent.report.service == record.service;
-    if (may_follow && record.route.size() < SearchRoute::kMaxAgents) {
+    const bool may_join_route = IsResponsive(*order.front(), now) && IsResponsive(agent, now) &&
+                                agent.report.standing != EndpointStanding::kStopping &&
+                                agent.report.service == record.service;
+    if (may_join_route && record.route.size() < SearchRoute::kMaxAgents) {
       record.route.push_back(agent.address);
     }
   }
@@ -145,30 +145,31 @@
 
 BalancerDecision BalancerCore::OnAllRefused(const FlowPacket& packet, const Route& route,
                                             FlowRecord& record, base::TimePoint now) {
-  const bool is_sure =
-      !record.refused.empty() && !IsLearning(now) && !MayBeAmongTooMany(route, now);
+  const bool is_conclusive =
+      !record.refused.empty() && !IsLearning(now) && !HasTooManyPossibleHolders(route, now);
   m_flows.erase(packet.flow);  // the next packet starts anew
   if (packet.is_reset) {
     return Drop(BalancerReason::kReset);
   }
-  return is_sure ? Reset(BalancerReason::kHeldByNone, packet) : Drop(BalancerReason::kNotSure);
+  return is_conclusive ? Reset(BalancerReason::kHeldByNone, packet)
+                       : Drop(BalancerReason::kNotSure);
 }
 
 BalancerDecision BalancerCore::OnReturnedPacket(const FlowPacket& packet,
                                                 const ForwardHeader& header,
                                                 const base::SocketAddress& agent,
                                                 base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   m_agents.NoteLife(agent);
   m_suspects.NoteHeard(agent);
   const Route* route = m_routes.Find(packet.flow.destination);
   if (route == nullptr) {
     return Drop(BalancerReason::kNoRoute);
   }
-  FlowRecord& record = *Remember(packet.flow);
+  FlowRecord& record = *FindOrAddRecord(packet.flow);
   record.last_packet = now;
   const std::size_t passes_limit =
-      std::min(kMostPasses, 2 * PossibleHolders(*route, now).size() + kSparePasses);
+      std::min(kMaxPasses, 2 * PossibleHolders(*route, now).size() + kExtraPasses);
   if (header.attempt >= passes_limit) {
     return Drop(BalancerReason::kTooManyPasses);
   }
@@ -182,22 +183,22 @@
     return Drop(BalancerReason::kRemembered);  // a late copy: the flow is open
   }
   if (!packet.is_opening) {
-    NoteOpen(record);
+    MarkOpen(record);
   }
   NoteRefusal(record, agent, header);
-  if (packet.is_opening && record.forced > 0) {
-    return OnForcedReturn(packet, *route, record, header, now);
+  if (packet.is_opening && record.must_accept_attempts > 0) {
+    return OnMustAcceptReturned(packet, *route, record, header, now);
   }
   if (packet.is_opening) {
     if (header.reason == ReturnReason::kBusy) {
       record.busy.push_back(agent);
     }
     if (header.reason == ReturnReason::kWarmingUp) {
-      PassOver(agent, now);
+      PauseWarmingUpAgent(agent, now);
     }
     return Place(packet, *route, record, attempt, now);
   }
-  if (DiedWithItsEndpoint(packet.flow, agent)) {
+  if (DiedWithEndpoint(packet.flow, agent)) {
     return packet.is_reset ? Drop(BalancerReason::kReset)
                            : Reset(BalancerReason::kHeldByNone, packet);
   }
@@ -227,11 +228,11 @@
 
 bool BalancerCore::OnHolderNotice(const FlowKey& flow, const base::SocketAddress& agent,
                                   base::ServiceId service, base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   m_agents.NoteLife(agent);
   m_suspects.NoteHeard(agent);
-  FlowRecord& record = *Remember(flow);
-  const bool is_news = record.agent != agent || !record.refused.empty();
+  FlowRecord& record = *FindOrAddRecord(flow);
+  const bool has_changed_holder = record.agent != agent || !record.refused.empty();
   record.held_since = record.agent == agent ? record.held_since : now;
   record.agent = agent;
   record.service = service;
@@ -241,7 +242,7 @@
   record.route.clear();
   record.refused.clear();
   record.last_packet = now;
-  return is_news;
+  return has_changed_holder;
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/dead_flow_queue.cpp
+++ b/libs/placement/src/dead_flow_queue.cpp
@@ -14,7 +14,7 @@
 }
 
 std::vector<DeadFlow> DeadFlowQueue::TakeBatch() {
-  const auto count = static_cast<std::ptrdiff_t>(std::min(kAtOnce, m_waiting.size()));
+  const auto count = static_cast<std::ptrdiff_t>(std::min(kMaxBatchSize, m_waiting.size()));
   std::vector<DeadFlow> some(m_waiting.begin(), m_waiting.begin() + count);
   m_waiting.erase(m_waiting.begin(), m_waiting.begin() + count);
   return some;
--- a/libs/placement/src/flow_preference.cpp
+++ b/libs/placement/src/flow_preference.cpp
@@ -28,15 +28,16 @@
             [&](const auto& left, const auto& right) { return place(left) < place(right); });
   std::size_t rank = 0;
   for (std::size_t index = 0; index < ranked.size(); ++index) {
-    const bool goes_on = index > 0 && IsOfSameGroup(*ranked[index - 1].agent, *ranked[index].agent);
-    rank = goes_on ? rank + 1 : 0;
-    ranked[index].tier = rank / kPreferencePerZone;
+    const bool is_same_group =
+        index > 0 && IsOfSameGroup(*ranked[index - 1].agent, *ranked[index].agent);
+    rank = is_same_group ? rank + 1 : 0;
+    ranked[index].tier = rank / kPreferredPerZone;
   }
   return ranked;
 }
 
-std::vector<KnownAgent*> FirstForFlow(std::uint64_t flow_hash,
-                                      std::span<KnownAgent* const> agents) {
+std::vector<KnownAgent*> PreferredForFlow(std::uint64_t flow_hash,
+                                          std::span<KnownAgent* const> agents) {
   std::vector<KnownAgent*> first;
   for (const RankedAgent& ranked : RankForFlow(flow_hash, agents)) {
     if (ranked.tier == 0) {
--- a/libs/placement/src/flow_snapshot.cpp
+++ b/libs/placement/src/flow_snapshot.cpp
@@ -63,10 +63,10 @@
   std::vector<SavedFlow> flows;
   for (const proto::FlowHolder& holder : message.holders()) {
     const int count = holder.client_addresses_size();
-    const bool is_whole = holder.client_ports_size() == count &&
-                          holder.destinations_size() == count &&
-                          holder.acknowledged_size() == count;
-    if (!is_whole || flows.size() + static_cast<std::size_t>(count) > kSnapshotLimit) {
+    const bool has_equal_counts = holder.client_ports_size() == count &&
+                                  holder.destinations_size() == count &&
+                                  holder.acknowledged_size() == count;
+    if (!has_equal_counts || flows.size() + static_cast<std::size_t>(count) > kSnapshotLimit) {
       return std::nullopt;
     }
     for (int index = 0; index < count; ++index) {
@@ -92,7 +92,7 @@
                                                        std::size_t balancers) {
   const base::Duration period =
       std::max<base::Duration>(shortest, kPeriodPerBalancer * static_cast<std::int64_t>(balancers));
-  const bool is_of_use = shortest.count() > 0 && period <= FlowRecovery::kUseful;
+  const bool is_of_use = shortest.count() > 0 && period <= FlowRecovery::kSnapshotLifetime;
   return is_of_use ? std::optional(period) : std::nullopt;
 }
 
@@ -100,8 +100,8 @@
   const auto is_new = [this](const SavedFlow& saved) { return !m_saved.contains(saved.flow); };
   const auto new_count =
       static_cast<std::size_t>(std::count_if(flows.begin(), flows.end(), is_new));
-  const bool is_old = m_saved_at && now - *m_saved_at >= kLongest;
-  const bool is_due = is_old || new_count * kNewPart >= flows.size();
+  const bool is_old = m_saved_at && now - *m_saved_at >= kMaxInterval;
+  const bool is_due = is_old || new_count * kNewFlowDivisor >= flows.size();
   if (flows.empty() || !is_due) {
     return false;
   }
@@ -154,7 +154,8 @@
 }
 
 // Whether the agent's word on its endpoint's incarnation is beyond doubt.
-bool FlowRecovery::IsBelieved(const base::SocketAddress& agent, const AgentReport& report) const {
+bool FlowRecovery::IsIncarnationConfirmed(const base::SocketAddress& agent,
+                                          const AgentReport& report) const {
   constexpr std::uint64_t kFirstAnnouncement = 1;
   const bool is_first = report.announcement == kFirstAnnouncement;
   const auto found = m_returned.find(agent);
@@ -171,7 +172,7 @@
   if (flows == m_by_agent.end()) {
     return dead;
   }
-  const bool is_believed = is_absent || IsBelieved(agent, report);
+  const bool is_incarnation_confirmed = is_absent || IsIncarnationConfirmed(agent, report);
   const std::uint32_t present = EndpointHash(report.endpoint);
   for (const FlowKey& flow : flows->second) {
     const SavedFlow* saved = Find(flow);
@@ -181,7 +182,7 @@
     const bool is_other = is_absent || saved->endpoint != present;
     const bool started_later =
         saved->endpoint_started_ms != 0 && report.endpoint.started_ms > saved->endpoint_started_ms;
-    if (is_other && (is_believed || started_later)) {
+    if (is_other && (is_incarnation_confirmed || started_later)) {
       dead.push_back({flow, saved->acknowledged});
     }
   }
@@ -192,7 +193,7 @@
 }
 
 void FlowRecovery::Tick(base::TimePoint now) {
-  if (m_taken_at && now - *m_taken_at > kUseful) {
+  if (m_taken_at && now - *m_taken_at > kSnapshotLifetime) {
     m_flows.clear();
     m_by_agent.clear();
     m_returned.clear();
--- a/libs/placement/src/forward_header.cpp
+++ b/libs/placement/src/forward_header.cpp
@@ -128,7 +128,7 @@
                               kind <= static_cast<std::uint8_t>(MessageKind::kLoad);
   const bool has_known_flags = (flags & ~kKnownFlags) == 0;
   const bool has_known_reason = reason < kReturnReasonCount;
-  const bool has_limit_in_range = busy_limit <= ForwardHeader::kLargestLimit;
+  const bool has_limit_in_range = busy_limit <= ForwardHeader::kMaxBusyLimit;
   if (!has_known_kind || !has_known_flags || !has_known_reason || !has_limit_in_range) {
     return std::nullopt;
   }
--- a/libs/placement/src/node_message.cpp
+++ b/libs/placement/src/node_message.cpp
@@ -11,19 +11,19 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr std::uint32_t kMostMilliseconds = 3'600'000;  // an hour; more is malformed
-constexpr std::size_t kMostText = 200;                  // bytes of a zone's or endpoint's name
+constexpr std::uint32_t kMaxMilliseconds = 3'600'000;  // an hour; more is malformed
+constexpr std::size_t kMaxTextBytes = 200;             // bytes of a zone's or endpoint's name
 constexpr unsigned kPortBits = 16;
 constexpr std::uint32_t kMaxAgents = 100'000;  // that a balancer may say it knows
 
 std::uint32_t ToMilliseconds(base::Duration duration) {
   const auto count = duration_cast<milliseconds>(duration).count();
   return static_cast<std::uint32_t>(
-      std::clamp<std::int64_t>(count, 0, static_cast<std::int64_t>(kMostMilliseconds)));
+      std::clamp<std::int64_t>(count, 0, static_cast<std::int64_t>(kMaxMilliseconds)));
 }
 
 base::Duration FromMilliseconds(std::uint32_t count) {
-  return milliseconds(std::min(count, kMostMilliseconds));
+  return milliseconds(std::min(count, kMaxMilliseconds));
 }
 
 std::uint32_t ToNumber(const base::SocketAddress& address) {
@@ -58,7 +58,7 @@
   const bool has_fault =
       static_cast<std::size_t>(message.zones_size()) > EvacuatedZones::kMaxZones ||
       std::any_of(message.zones().begin(), message.zones().end(),
-                  [](const std::string& zone) { return zone.size() > kMostText; });
+                  [](const std::string& zone) { return zone.size() > kMaxTextBytes; });
   return has_fault
              ? EvacuatedZones{}
              : EvacuatedZones{message.version(), {message.zones().begin(), message.zones().end()}};
@@ -123,7 +123,7 @@
   const bool has_known_standing =
       message.standing() <= static_cast<std::uint32_t>(EndpointStanding::kAbsent);
   const bool has_short_text =
-      message.zone().size() <= kMostText && message.endpoint().size() <= kMostText;
+      message.zone().size() <= kMaxTextBytes && message.endpoint().size() <= kMaxTextBytes;
   if (!has_known_standing || !has_short_text) {
     return std::nullopt;
   }
@@ -217,7 +217,7 @@
   for (const proto::KnownNode& node : message.agents()) {
     greeting.agents.push_back(ReadListed(node, port));
   }
-  if (message.health_check_path().size() <= kMostText) {
+  if (message.health_check_path().size() <= kMaxTextBytes) {
     greeting.health_check_path = message.health_check_path();
   }
   greeting.wants_answer = message.wants_answer();
--- a/libs/placement/src/report_schedule.cpp
+++ b/libs/placement/src/report_schedule.cpp
@@ -18,17 +18,17 @@
 constexpr base::Duration kJoiningPeriod = std::chrono::milliseconds(500);
 constexpr base::Duration kJoiningPeriodPerBalancer = std::chrono::milliseconds(2);
 // Rounds up to this length aren't spread: as long as those of an agent's first seconds.
-constexpr base::Duration kSpreadFrom = std::chrono::milliseconds(500);
+constexpr base::Duration kSpreadThreshold = std::chrono::milliseconds(500);
 // Where a period grows by more than this factor, all balancers are told of it first: they give an
 // agent up after three of the periods that they know.
-constexpr int kGrowthUntold = 2;
+constexpr int kMaxUnreportedGrowth = 2;
 // Balancers noted between two rounds; the rest waits for the round.
 constexpr std::size_t kUserLimit = 4'096;
 
 }  // namespace
 
 base::Duration ReportSchedule::RoundPeriod(std::size_t balancers, std::size_t agents) {
-  return std::max({kShortestPeriod, kPeriodPerBalancer * static_cast<int>(balancers),
+  return std::max({kMinPeriod, kPeriodPerBalancer * static_cast<int>(balancers),
                    kPeriodPerAgent * static_cast<int>(agents)});
 }
 
@@ -44,16 +44,16 @@
 }
 
 void ReportSchedule::NoteRound(std::size_t balancers, base::TimePoint now) {
-  m_all_told_at = now;
+  m_all_reported_at = now;
   m_users.clear();
-  const bool is_spread = m_period > kSpreadFrom && now - m_round_at < m_period;
+  const bool is_spread = m_period > kSpreadThreshold && now - m_round_at < m_period;
   if (is_spread) {
     return;  // it goes on: a balancer that starts now is told in its turn
   }
   m_period = NextPeriod(balancers, now);
   m_round_at = now;
   m_round.clear();
-  m_told = 0;
+  m_reported_count = 0;
 }
 
 void ReportSchedule::BeginRound(std::vector<base::SocketAddress> balancers, std::uint64_t salt,
@@ -61,7 +61,7 @@
   const base::Duration before = m_period;
   m_period = NextPeriod(balancers.size(), now);
   // Balancers judge the agent's silence by the period that they were told last.
-  m_tells_all = m_period <= kSpreadFrom || m_period > before * kGrowthUntold;
+  m_reports_to_all = m_period <= kSpreadThreshold || m_period > before * kMaxUnreportedGrowth;
   m_round_at = now;
   const auto rank = [salt](const base::SocketAddress& balancer) {
     return base::HashPair(salt, AddressHash(balancer));
@@ -70,17 +70,17 @@
   std::sort(balancers.begin(), balancers.end(),
             [&](const auto& left, const auto& right) { return rank(left) < rank(right); });
   m_round = std::move(balancers);
-  m_told = 0;
-  if (m_tells_all) {
-    m_all_told_at = now;
+  m_reported_count = 0;
+  if (m_reports_to_all) {
+    m_all_reported_at = now;
     m_users.clear();
   }
-  absl::erase_if(m_users, [](const auto& entry) { return !entry.second.is_waiting; });
+  absl::erase_if(m_users, [](const auto& entry) { return !entry.second.is_due; });
 }
 
 std::vector<base::SocketAddress> ReportSchedule::TakeShare(base::TimePoint now) {
-  if (std::exchange(m_tells_all, false)) {
-    m_told = m_period <= kSpreadFrom ? m_round.size() : 0;
+  if (std::exchange(m_reports_to_all, false)) {
+    m_reported_count = m_period <= kSpreadThreshold ? m_round.size() : 0;
     return m_round;
   }
   std::size_t due = m_round.size();
@@ -88,28 +88,28 @@
     due = m_round.size() * static_cast<std::size_t>((now - m_round_at).count()) /
           static_cast<std::size_t>(m_period.count());
   }
-  due = std::max(due, m_told);
+  due = std::max(due, m_reported_count);
   const auto begin = m_round.begin();
-  std::vector<base::SocketAddress> share(begin + static_cast<std::ptrdiff_t>(m_told),
+  std::vector<base::SocketAddress> share(begin + static_cast<std::ptrdiff_t>(m_reported_count),
                                          begin + static_cast<std::ptrdiff_t>(due));
-  m_told = due;
+  m_reported_count = due;
   return share;
 }
 
 void ReportSchedule::NoteUse(const base::SocketAddress& balancer) {
-  if (m_period <= kShortestPeriod) {
+  if (m_period <= kMinPeriod) {
     return;  // the next round comes as soon
   }
   if (m_users.size() < kUserLimit || m_users.contains(balancer)) {
-    m_users[balancer].is_waiting = true;
+    m_users[balancer].is_due = true;
   }
 }
 
 std::vector<base::SocketAddress> ReportSchedule::TakeUsers(base::TimePoint now) {
   std::vector<base::SocketAddress> users;
   for (auto& [balancer, user] : m_users) {
-    const base::TimePoint told_at = std::max(user.told_at, m_all_told_at);
-    if (user.is_waiting && now - told_at >= kShortestPeriod) {
+    const base::TimePoint reported_at = std::max(user.reported_at, m_all_reported_at);
+    if (user.is_due && now - reported_at >= kMinPeriod) {
       user = {now, false};
       users.push_back(balancer);
     }
--- a/libs/placement/src/route_table.cpp
+++ b/libs/placement/src/route_table.cpp
@@ -7,7 +7,7 @@
 
 // Different classes of one service that agents are told; there are only so many priorities, and
 // routes of one priority seldom differ.
-constexpr std::size_t kMostClasses = 16;
+constexpr std::size_t kMaxClasses = 16;
 
 }  // namespace
 
@@ -36,7 +36,7 @@
       std::vector<RequestClass>& known = classes[part.service];
       const bool is_known =
           std::find(known.begin(), known.end(), route.request_class) != known.end();
-      if (!is_known && known.size() < kMostClasses) {
+      if (!is_known && known.size() < kMaxClasses) {
         known.push_back(route.request_class);
       }
     }
--- a/libs/placement/src/store_reader_role.cpp
+++ b/libs/placement/src/store_reader_role.cpp
@@ -16,18 +16,18 @@
 constexpr int kStalePercent = 60;
 constexpr int kTakeOverPercent = 25;
 // Peers are told of a contact that is this much newer than the last one they were told of.
-constexpr int kNewsPercent = 25;
+constexpr int kContactUpdatePercent = 25;
 // Time that those who take over draw from, for each balancer: 40 reads a second by all together.
-constexpr base::Duration kTakeOverForEach = std::chrono::milliseconds(25);
+constexpr base::Duration kTakeOverWindowPerBalancer = std::chrono::milliseconds(25);
 // The same between two tries at a store that doesn't answer: 20 calls a second by all together.
-constexpr base::Duration kRetryForEach = std::chrono::milliseconds(50);
-constexpr base::Duration kShortestRetry = std::chrono::milliseconds(250);
+constexpr base::Duration kRetryPeriodPerBalancer = std::chrono::milliseconds(50);
+constexpr base::Duration kMinRetryPeriod = std::chrono::milliseconds(250);
 // A reader that fails while others hear the store leaves it to them for so long.
-constexpr base::Duration kRest = std::chrono::seconds(5);
+constexpr base::Duration kFailedReaderBackoff = std::chrono::seconds(5);
 // A balancer this young doesn't know who else is there; what it has read is new enough meanwhile.
 constexpr base::Duration kJoiningTime = std::chrono::milliseconds(500);
 
-base::Duration PartOf(base::Duration whole, int percent) { return whole * percent / 100; }
+base::Duration PercentOf(base::Duration whole, int percent) { return whole * percent / 100; }
 
 }  // namespace
 
@@ -44,22 +44,23 @@
 }
 
 bool StoreReaderRole::IsStale(base::TimePoint now) const {
-  return !m_heard_at || now - *m_heard_at > PartOf(m_settings.change_limit, kStalePercent);
+  return !m_heard_at || now - *m_heard_at > PercentOf(m_settings.change_limit, kStalePercent);
 }
 
 base::Duration StoreReaderRole::WatchTimeout() const {
-  return PartOf(m_settings.change_limit, kWatchPercent);
+  return PercentOf(m_settings.change_limit, kWatchPercent);
 }
 
 void StoreReaderRole::NoteFailure(std::span<const BalancerAge> others, base::TimePoint now) {
   if (!IsStale(now)) {
-    m_resting_until = now + kRest;
+    m_backoff_until = now + kFailedReaderBackoff;
     return;
   }
-  const base::Duration share = std::clamp(kRetryForEach * static_cast<int>(others.size() + 1),
-                                          kShortestRetry, m_settings.change_limit);
+  const base::Duration share =
+      std::clamp(kRetryPeriodPerBalancer * static_cast<int>(others.size() + 1), kMinRetryPeriod,
+                 m_settings.change_limit);
   m_take_over_at = now + share / 2 + m_random.NextJitter(share);
-  m_resting_until = *m_take_over_at;
+  m_backoff_until = *m_take_over_at;
 }
 
 bool StoreReaderRole::ShouldRead(std::span<const BalancerAge> others, base::TimePoint now) {
@@ -69,24 +70,25 @@
   }
   if (!IsStale(now)) {
     m_take_over_at.reset();
-    return now >= m_resting_until && now - m_started_at >= kJoiningTime &&
+    return now >= m_backoff_until && now - m_started_at >= kJoiningTime &&
            DutyRank(kDuty, m_self, others) < kReaders;
   }
   if (!m_take_over_at) {
-    const base::Duration share = std::min(kTakeOverForEach * static_cast<int>(balancers),
-                                          PartOf(m_settings.change_limit, kTakeOverPercent));
+    const base::Duration share = std::min(kTakeOverWindowPerBalancer * static_cast<int>(balancers),
+                                          PercentOf(m_settings.change_limit, kTakeOverPercent));
     m_take_over_at = now + (m_heard_at ? m_random.NextJitter(share) : base::Duration(0));
   }
   return now >= *m_take_over_at;
 }
 
-bool StoreReaderRole::TakeNews() {
-  const base::Duration step = PartOf(m_settings.change_limit, kNewsPercent);
-  const bool is_news = m_heard_at && (!m_passed_on || *m_heard_at - *m_passed_on >= step);
-  if (is_news) {
-    m_passed_on = m_heard_at;
+bool StoreReaderRole::TakeContactUpdate() {
+  const base::Duration step = PercentOf(m_settings.change_limit, kContactUpdatePercent);
+  const bool has_changed_holder =
+      m_heard_at && (!m_last_gossiped_contact || *m_heard_at - *m_last_gossiped_contact >= step);
+  if (has_changed_holder) {
+    m_last_gossiped_contact = m_heard_at;
   }
-  return is_news;
+  return has_changed_holder;
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/tests/balancer_core_test.cpp
+++ b/libs/placement/tests/balancer_core_test.cpp
@@ -18,7 +18,7 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr std::int64_t kLearned = 5000;  // ms; the balancer has learned of all agents
+constexpr std::int64_t kLearnedAtMs = 5000;  // ms; the balancer has learned of all agents
 
 class BalancerCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BalancerCoreTest);
@@ -26,46 +26,46 @@
   CPPUNIT_TEST(UnknownAddressIsResetAtOnce);
   CPPUNIT_TEST(TheLeastLoadedEndpointGetsTheFlow);
   CPPUNIT_TEST(CopiesAndLaterPacketsStayWithTheAgent);
-  CPPUNIT_TEST(ACopyLeavesAnAgentThatFellSilent);
+  CPPUNIT_TEST(ARetransmissionMovesFromASilentAgent);
   CPPUNIT_TEST(AnOpeningThatIsReturnedGoesToAnother);
-  CPPUNIT_TEST(AnOpeningThatAllReturnIsResetAtOnce);
-  CPPUNIT_TEST(ALateCopyOfAnOpenFlowsOpeningResetsNothing);
-  CPPUNIT_TEST(WhereAllAreBusyTheShortestQueueMustAccept);
-  CPPUNIT_TEST(AQueueThatGrewMeanwhileIsLeftForTheNextShortest);
-  CPPUNIT_TEST(OpeningsAreForcedOnFewEndpoints);
-  CPPUNIT_TEST(OfManyBusyEndpointsOnlyAFewAreTried);
-  CPPUNIT_TEST(WhereAllQueuesAreTooLongItIsResetAtOnce);
+  CPPUNIT_TEST(AnOpeningReturnedByAllAgentsIsResetAtOnce);
+  CPPUNIT_TEST(ALateReturnOfAnOpeningDoesNotResetAnOpenFlow);
+  CPPUNIT_TEST(WhenAllAreBusyTheShortestQueueMustAccept);
+  CPPUNIT_TEST(WhenAQueueHasGrownTheNextShortestIsTried);
+  CPPUNIT_TEST(MustAcceptIsTriedOnFewEndpoints);
+  CPPUNIT_TEST(OnlyAFewOfManyBusyEndpointsAreTried);
+  CPPUNIT_TEST(WhenAllQueuesAreTooLongTheFlowIsResetAtOnce);
   CPPUNIT_TEST(AnUnknownFlowIsOfferedToEachAgentOnce);
-  CPPUNIT_TEST(ASearchGivesItsPacketTheRouteOfAllAgents);
-  CPPUNIT_TEST(AnAgentInTheMiddleOfARouteSpeaksForThoseBefore);
+  CPPUNIT_TEST(ASearchPacketCarriesTheRouteOfAllAgents);
+  CPPUNIT_TEST(AReturnImpliesThatEarlierAgentsOnTheRouteRefused);
   CPPUNIT_TEST(SilentAgentsAreNotOnTheRoute);
-  CPPUNIT_TEST(ASearchThatGotLostTakesAnotherOrder);
-  CPPUNIT_TEST(AReturnFromAnEarlierSearchSpeaksForItselfOnly);
+  CPPUNIT_TEST(ALostSearchIsRepeatedInAnotherOrder);
+  CPPUNIT_TEST(AReturnFromAnEarlierSearchRefusesForOneAgentOnly);
   CPPUNIT_TEST(AFlowThatNobodyHoldsIsReset);
-  CPPUNIT_TEST(AYoungBalancerDoesNotReset);
+  CPPUNIT_TEST(ALearningBalancerDoesNotReset);
   CPPUNIT_TEST(AnAgentNotHeardYetMayHoldTheFlow);
   CPPUNIT_TEST(AnAgentWithoutEndpointIsNotAsked);
   CPPUNIT_TEST(AnAgentThatIsSilentForLongIsGivenUp);
-  CPPUNIT_TEST(ABalancerThatWasPausedResetsNothing);
-  CPPUNIT_TEST(ABalancerThatWasPausedLearnsAnew);
-  CPPUNIT_TEST(AnAgentThatReportsSeldomIsNotGivenUp);
-  CPPUNIT_TEST(ACopyLeavesAnAgentThatDidNotAnswerTheOpening);
-  CPPUNIT_TEST(TheFirstCopyLeavesAnAgentNotHeardSince);
-  CPPUNIT_TEST(ACopyStaysWithAnAgentHeardSince);
-  CPPUNIT_TEST(ACopyDoubledOnItsWayStays);
+  CPPUNIT_TEST(ABalancerResetsNothingAfterAPause);
+  CPPUNIT_TEST(ABalancerLearnsAgainAfterAPause);
+  CPPUNIT_TEST(AnAgentWithALongReportPeriodIsNotGivenUp);
+  CPPUNIT_TEST(ARetransmissionMovesFromAnAgentThatDidNotAnswer);
+  CPPUNIT_TEST(TheFirstRetransmissionMovesFromAnAgentNotHeardSince);
+  CPPUNIT_TEST(ARetransmissionStaysWithAnAgentHeardSince);
+  CPPUNIT_TEST(ADuplicateFromTheNetworkStaysWithTheAgent);
   CPPUNIT_TEST(AnAgentThatReturnsPacketsIsAlive);
   CPPUNIT_TEST(TheHolderIsRemembered);
-  CPPUNIT_TEST(AHolderIsBelievedBeforeItsFirstReport);
+  CPPUNIT_TEST(AHolderNoticeCountsBeforeTheFirstReport);
   CPPUNIT_TEST(AnAgentThatRefusedTheOpeningMayHoldTheFlow);
-  CPPUNIT_TEST(AHolderThatLostTheFlowEndsIt);
-  CPPUNIT_TEST(APacketReturnedByAFormerGuessFollowsTheNewOne);
-  CPPUNIT_TEST(ARemovedRouteCutsItsFlows);
-  CPPUNIT_TEST(AFlowOfARouteNotHeardOfIsNotReset);
+  CPPUNIT_TEST(AFlowLostByItsHolderIsReset);
+  CPPUNIT_TEST(APacketReturnedByAnEarlierAgentGoesToTheNextOne);
+  CPPUNIT_TEST(FlowsOfARemovedRouteAreReset);
+  CPPUNIT_TEST(AFlowOfAnUnknownRouteIsNotReset);
   CPPUNIT_TEST(AnOlderTableIsRefused);
-  CPPUNIT_TEST(OpenFlowsStayWhereTheyAreWhenWeightsChange);
-  CPPUNIT_TEST(ARouteOfManyServicesIsSearchedWhole);
+  CPPUNIT_TEST(OpenFlowsStayWhenWeightsChange);
+  CPPUNIT_TEST(AllServicesOfARouteAreSearched);
   CPPUNIT_TEST(OnlyPastServicesAreForgotten);
-  CPPUNIT_TEST(AReturnedPacketIsPassedOnBoundedly);
+  CPPUNIT_TEST(TheNumberOfPassesIsBounded);
   CPPUNIT_TEST(AFullTableSearchesForEachPacket);
   CPPUNIT_TEST(IdleFlowsAreForgotten);
   CPPUNIT_TEST_SUITE_END();
@@ -107,11 +107,11 @@
     Expect(BalancerVerdict::kForward, BalancerReason::kPlaced, Send(Opening(Flow(1), 777)));
   }
 
-  void ACopyLeavesAnAgentThatFellSilent() {
+  void ARetransmissionMovesFromASilentAgent() {
     Start();
     Hear(1);
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
-    m_now = At(kLearned + 2000);
+    m_now = At(kLearnedAtMs + 2000);
     Hear(2);
     CPPUNIT_ASSERT_EQUAL(Node(2), Send(Opening(Flow(1))).agent);
   }
@@ -126,7 +126,7 @@
     CPPUNIT_ASSERT_EQUAL(1, +second.header.attempt);
   }
 
-  void AnOpeningThatAllReturnIsResetAtOnce() {
+  void AnOpeningReturnedByAllAgentsIsResetAtOnce() {
     Start();
     HearThree();
     BalancerDecision decision = Send(Opening(Flow(1)));
@@ -138,7 +138,7 @@
   }
 
   // Found by placement_proof.
-  void ALateCopyOfAnOpenFlowsOpeningResetsNothing() {
+  void ALateReturnOfAnOpeningDoesNotResetAnOpenFlow() {
     Start();
     Hear(1);
     const BalancerDecision copy = Send(Opening(Flow(1)));
@@ -148,7 +148,7 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(1), 111)).agent);
   }
 
-  void WhereAllAreBusyTheShortestQueueMustAccept() {
+  void WhenAllAreBusyTheShortestQueueMustAccept() {
     Start();
     Hear(1, 6);
     Hear(2, 5);
@@ -166,7 +166,7 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kAllRefused, decision);
   }
 
-  void AQueueThatGrewMeanwhileIsLeftForTheNextShortest() {
+  void WhenAQueueHasGrownTheNextShortestIsTried() {
     Start();
     Hear(1, 6);
     Hear(2, 5);
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);
   }
 
-  void OpeningsAreForcedOnFewEndpoints() {
+  void MustAcceptIsTriedOnFewEndpoints() {
     Start();
     for (std::uint32_t number = 1; number <= 20; ++number) {
       Hear(number, 5);
@@ -197,7 +197,7 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kAllRefused, decision);
   }
 
-  void OfManyBusyEndpointsOnlyAFewAreTried() {
+  void OnlyAFewOfManyBusyEndpointsAreTried() {
     Start();
     for (std::uint32_t number = 1; number <= 20; ++number) {
       Hear(number, 5);
@@ -210,7 +210,7 @@
     CPPUNIT_ASSERT(decision.header.must_accept);
   }
 
-  void WhereAllQueuesAreTooLongItIsResetAtOnce() {
+  void WhenAllQueuesAreTooLongTheFlowIsResetAtOnce() {
     Start();
     Hear(1, 30);
     const BalancerDecision decision =
@@ -233,7 +233,7 @@
   }
 
   // A balancer with little processor can't afford a packet in and out for each agent that is asked.
-  void ASearchGivesItsPacketTheRouteOfAllAgents() {
+  void ASearchPacketCarriesTheRouteOfAllAgents() {
     Start();
     HearThree();
     const BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -247,7 +247,7 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, last);
   }
 
-  void AnAgentInTheMiddleOfARouteSpeaksForThoseBefore() {
+  void AReturnImpliesThatEarlierAgentsOnTheRouteRefused() {
     Start();
     HearThree();
     const BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -272,7 +272,7 @@
   }
 
   // An agent that ends at that moment swallows what is passed on to it.
-  void ASearchThatGotLostTakesAnotherOrder() {
+  void ALostSearchIsRepeatedInAnotherOrder() {
     Start();
     for (std::uint32_t number = 1; number <= 8; ++number) {
       Hear(number);
@@ -292,7 +292,7 @@
   }
 
   // Found by placement_proof: agents that the present search hadn't reached were taken as asked.
-  void AReturnFromAnEarlierSearchSpeaksForItselfOnly() {
+  void AReturnFromAnEarlierSearchRefusesForOneAgentOnly() {
     Start();
     for (std::uint32_t number = 1; number <= 8; ++number) {
       Hear(number);
@@ -309,16 +309,17 @@
   void AFlowThatNobodyHoldsIsReset() {
     Start();
     HearThree();
-    const BalancerDecision decision = SearchToTheEnd(Data(Flow(1), 101));
+    const BalancerDecision decision = ReturnFromAllAgents(Data(Flow(1), 101));
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, decision);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{5000}, decision.reset_sequence);
   }
 
-  void AYoungBalancerDoesNotReset() {
+  void ALearningBalancerDoesNotReset() {
     m_now = At(100);
     m_core->SetRoutes(Routes(1));
     HearThree();
-    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure, SearchToTheEnd(Data(Flow(1), 101)));
+    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure,
+           ReturnFromAllAgents(Data(Flow(1), 101)));
   }
 
   void AnAgentNotHeardYetMayHoldTheFlow() {
@@ -359,7 +360,7 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, Send(Data(Flow(1), 101)));
   }
 
-  void ABalancerThatWasPausedResetsNothing() {
+  void ABalancerResetsNothingAfterAPause() {
     Start();
     Hear(1);
     const base::SocketAddress agent = Send(Opening(Flow(1))).agent;
@@ -374,20 +375,21 @@
   }
 
   // What it knew may be old: until it has heard the agents again, nothing is certain.
-  void ABalancerThatWasPausedLearnsAnew() {
+  void ABalancerLearnsAgainAfterAPause() {
     Start();
     Hear(1);
     m_core->Tick(m_now);
     m_now += std::chrono::seconds(6);
-    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure, SearchToTheEnd(Data(Flow(2), 101)));
+    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure,
+           ReturnFromAllAgents(Data(Flow(2), 101)));
     m_core->Tick(m_now);
     m_now += std::chrono::milliseconds(750);
     Hear(1);
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone,
-           SearchToTheEnd(Data(Flow(2), 101)));
+           ReturnFromAllAgents(Data(Flow(2), 101)));
   }
 
-  void AnAgentThatReportsSeldomIsNotGivenUp() {
+  void AnAgentWithALongReportPeriodIsNotGivenUp() {
     Start();
     AgentReport seldom = Report(1);
     seldom.period = std::chrono::seconds(150);
@@ -401,7 +403,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, asked);
   }
 
-  void ACopyLeavesAnAgentThatDidNotAnswerTheOpening() {
+  void ARetransmissionMovesFromAnAgentThatDidNotAnswer() {
     Start();
     AgentReport seldom = Report(1);
     seldom.period = std::chrono::seconds(150);
@@ -416,7 +418,7 @@
 
   // The opening was lost with its agent: the client's time is nearly over when the second copy
   // comes.
-  void TheFirstCopyLeavesAnAgentNotHeardSince() {
+  void TheFirstRetransmissionMovesFromAnAgentNotHeardSince() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Opening(Flow(1)));
@@ -426,7 +428,7 @@
     CPPUNIT_ASSERT(copy.agent != first.agent);
   }
 
-  void ACopyStaysWithAnAgentHeardSince() {
+  void ARetransmissionStaysWithAnAgentHeardSince() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Opening(Flow(1)));
@@ -439,7 +441,7 @@
     CPPUNIT_ASSERT_EQUAL(first.agent, Send(Opening(Flow(1))).agent);
   }
 
-  void ACopyDoubledOnItsWayStays() {
+  void ADuplicateFromTheNetworkStaysWithTheAgent() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Opening(Flow(1)));
@@ -469,7 +471,7 @@
   }
 
   // Found by placement_proof: the record's service was unknown, so the holder returned the packet.
-  void AHolderIsBelievedBeforeItsFirstReport() {
+  void AHolderNoticeCountsBeforeTheFirstReport() {
     Start();
     m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     const BalancerDecision decision = Send(Data(Flow(1), 111));
@@ -493,7 +495,7 @@
     CPPUNIT_ASSERT_EQUAL(first.agent, decision.agent);
   }
 
-  void AHolderThatLostTheFlowEndsIt() {
+  void AFlowLostByItsHolderIsReset() {
     Start();
     HearThree();
     m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
@@ -502,7 +504,7 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, decision);
   }
 
-  void APacketReturnedByAFormerGuessFollowsTheNewOne() {
+  void APacketReturnedByAnEarlierAgentGoesToTheNextOne() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Data(Flow(1), 101));
@@ -512,7 +514,7 @@
     CPPUNIT_ASSERT_EQUAL(second.agent, third.agent);
   }
 
-  void ARemovedRouteCutsItsFlows() {
+  void FlowsOfARemovedRouteAreReset() {
     Start();
     HearThree();
     Send(Opening(Flow(1)));
@@ -524,7 +526,7 @@
     Expect(BalancerVerdict::kDrop, BalancerReason::kNoRoute, Send(Data(Flow(1), 121)));
   }
 
-  void AFlowOfARouteNotHeardOfIsNotReset() {
+  void AFlowOfAnUnknownRouteIsNotReset() {
     Start();
     const FlowKey flow = Flow(1, base::SocketAddress::Ipv4(0xc6120009, 443));
     Expect(BalancerVerdict::kDrop, BalancerReason::kNoRoute, Send(Data(flow, 101)));
@@ -538,7 +540,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, m_core->Routes().version);
   }
 
-  void OpenFlowsStayWhereTheyAreWhenWeightsChange() {
+  void OpenFlowsStayWhenWeightsChange() {
     Start();
     Hear(1);
     Send(Opening(Flow(1)));
@@ -550,9 +552,9 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(2), 101)).agent);
   }
 
-  void ARouteOfManyServicesIsSearchedWhole() {
+  void AllServicesOfARouteAreSearched() {
     constexpr std::uint32_t kServices = 12;
-    m_now = At(kLearned);
+    m_now = At(kLearnedAtMs);
     m_core->SetRoutes(RoutesOfServices(2, 0, kServices));
     for (std::uint32_t number = 0; number < kServices; ++number) {
       HearOfService(number);
@@ -562,7 +564,7 @@
 
   void OnlyPastServicesAreForgotten() {
     constexpr std::uint32_t kVersions = 20;
-    m_now = At(kLearned);
+    m_now = At(kLearnedAtMs);
     for (std::uint32_t number = 0; number < kVersions; ++number) {
       m_core->SetRoutes(RoutesOfServices(2 + number, number, 2));
       HearOfService(number);
@@ -571,7 +573,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, AgentsAsked());
   }
 
-  void AReturnedPacketIsPassedOnBoundedly() {
+  void TheNumberOfPassesIsBounded() {
     Start();
     HearThree();
     const BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -605,7 +607,7 @@
 
  private:
   void Start() {
-    m_now = At(kLearned);
+    m_now = At(kLearnedAtMs);
     CPPUNIT_ASSERT(m_core->SetRoutes(Routes(1)));
   }
 
@@ -671,7 +673,7 @@
   }
 
   // Lets each agent return the packet; returns what became of it.
-  BalancerDecision SearchToTheEnd(const FlowPacket& packet) {
+  BalancerDecision ReturnFromAllAgents(const FlowPacket& packet) {
     BalancerDecision decision = Send(packet);
     while (decision.verdict == BalancerVerdict::kForward) {
       decision = Return(packet, decision, ReturnReason::kNotHeld);
--- a/libs/placement/tests/balancer_gossip_test.cpp
+++ b/libs/placement/tests/balancer_gossip_test.cpp
@@ -22,28 +22,28 @@
 
 class BalancerGossipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BalancerGossipTest);
-  CPPUNIT_TEST(SeedsAreAskedForEverythingAtFirst);
-  CPPUNIT_TEST(RoundsAreShortUntilSomebodyAnswers);
-  CPPUNIT_TEST(RoundsAreNotShortForEver);
-  CPPUNIT_TEST(AYoungBalancerAsksAgainForEverything);
+  CPPUNIT_TEST(SeedsAreAskedForFullListingsAtFirst);
+  CPPUNIT_TEST(RoundsAreShortUntilABalancerAnswers);
+  CPPUNIT_TEST(RoundsAreShortForALimitedTime);
+  CPPUNIT_TEST(ANewBalancerRepeatsItsRequestForFullListings);
   CPPUNIT_TEST(ARoundCostsTheSameInALargeDeployment);
   CPPUNIT_TEST(RoundsReachEveryPeerInTime);
   CPPUNIT_TEST(NewRoutesGoToAFewPeersWithoutLists);
   CPPUNIT_TEST(TheFirstRoutesAreToldToAgents);
-  CPPUNIT_TEST(AListingHoldsAllAndFitsDatagrams);
-  CPPUNIT_TEST(ListingsAreBoundedWhenAllStartAtOnce);
-  CPPUNIT_TEST(WhoHearsNothingNewStopsAskingForEverything);
+  CPPUNIT_TEST(AFullListingIsSplitIntoDatagrams);
+  CPPUNIT_TEST(FullListingsAreRateLimited);
+  CPPUNIT_TEST(RequestsForFullListingsEndWhenNoNewNodeIsNamed);
   CPPUNIT_TEST(AnUnknownAgentIsAskedForAReport);
-  CPPUNIT_TEST(OnlyTheFirstPeersAreAskedForEverything);
-  CPPUNIT_TEST(AgentsHearABoundedNumberOfGreetings);
-  CPPUNIT_TEST(AFewBalancersGreetAllAgents);
-  CPPUNIT_TEST(ARestartedAgentIsToldWhatItsEndpointWas);
-  CPPUNIT_TEST(AbsentEndpointsAreNotListed);
-  CPPUNIT_TEST(ManyPeersStayAliveOnSeldomNews);
-  CPPUNIT_TEST(TheAgeOfAContactTravelsWithGreetings);
-  CPPUNIT_TEST(ANewerVersionSaysNothingOfOnesOwnAge);
-  CPPUNIT_TEST(GreetingsThatWaitedInAPauseSayNothingOfAges);
-  CPPUNIT_TEST(AContactIsPassedOnToAFewPeers);
+  CPPUNIT_TEST(OnlyTheFirstPeersAreAskedForFullListings);
+  CPPUNIT_TEST(GreetingsPerAgentAreBounded);
+  CPPUNIT_TEST(FewBalancersGreetAllAgents);
+  CPPUNIT_TEST(ARestartedAgentIsToldTheFormerStateOfItsEndpoint);
+  CPPUNIT_TEST(AgentsWithoutEndpointAreNotListed);
+  CPPUNIT_TEST(ManyPeersStayAliveOnInfrequentUpdates);
+  CPPUNIT_TEST(GreetingsCarryTheAgeOfTheContact);
+  CPPUNIT_TEST(AContactAgeOfANewerVersionIsIgnored);
+  CPPUNIT_TEST(ContactAgesReceivedAfterAPauseAreIgnored);
+  CPPUNIT_TEST(AContactIsGossipedToAFewPeers);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -52,7 +52,7 @@
     m_gossip.emplace(Node(1), base::Incarnation(5), *m_core, m_random, At(0));
   }
 
-  void SeedsAreAskedForEverythingAtFirst() {
+  void SeedsAreAskedForFullListingsAtFirst() {
     m_gossip->SetSeeds({Node(1), Node(2), Node(3)});
     const std::vector<OutgoingGreeting> round = m_gossip->PeerRound(At(0));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, round.size());  // not itself
@@ -61,19 +61,19 @@
     }
   }
 
-  void RoundsAreShortUntilSomebodyAnswers() {
+  void RoundsAreShortUntilABalancerAnswers() {
     m_gossip->SetSeeds({Node(2), Node(3)});
     CPPUNIT_ASSERT(m_gossip->PeerPeriod(At(0)) <= std::chrono::milliseconds(100));
     HearBalancers(1);
     CPPUNIT_ASSERT(m_gossip->PeerPeriod(At(10)) >= std::chrono::milliseconds(500));
   }
 
-  void RoundsAreNotShortForEver() {
+  void RoundsAreShortForALimitedTime() {
     m_gossip->SetSeeds({Node(2), Node(3)});
     CPPUNIT_ASSERT(m_gossip->PeerPeriod(At(60'000)) >= std::chrono::milliseconds(500));
   }
 
-  void AYoungBalancerAsksAgainForEverything() {
+  void ANewBalancerRepeatsItsRequestForFullListings() {
     HearBalancers(3);
     CPPUNIT_ASSERT(m_gossip->PeerRound(At(1000)).front().greeting.wants_answer);
     bool is_new = false;
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("/up"), news.front().greeting.health_check_path);
   }
 
-  void AListingHoldsAllAndFitsDatagrams() {
+  void AFullListingIsSplitIntoDatagrams() {
     HearBalancers(100);
     HearAgents(500);
     BalancerGreeting question;
@@ -148,7 +148,7 @@
   }
 
   // Hundreds of balancers start within a moment, and all know the same few by their settings.
-  void ListingsAreBoundedWhenAllStartAtOnce() {
+  void FullListingsAreRateLimited() {
     HearBalancers(300);
     HearAgents(700);
     BalancerGreeting question;
@@ -167,7 +167,7 @@
   }
 
   // Each listing names the whole fleet, however large it is.
-  void WhoHearsNothingNewStopsAskingForEverything() {
+  void RequestsForFullListingsEndWhenNoNewNodeIsNamed() {
     HearBalancers(20);
     BalancerGreeting known;
     bool is_new = false;
@@ -194,7 +194,7 @@
     CPPUNIT_ASSERT(!is_new);
   }
 
-  void OnlyTheFirstPeersAreAskedForEverything() {
+  void OnlyTheFirstPeersAreAskedForFullListings() {
     BalancerGreeting greeting;
     for (std::uint32_t number = 2; number < 50; ++number) {
       greeting.balancers.push_back({Node(number), base::Duration(0)});
@@ -208,7 +208,7 @@
     CPPUNIT_ASSERT(asked >= 2 && asked <= 8);
   }
 
-  void AgentsHearABoundedNumberOfGreetings() {
+  void GreetingsPerAgentAreBounded() {
     HearBalancers(99);
     HearAgents(1'000);
     const std::size_t greetings = m_gossip->AgentRound(At(0)).size();
@@ -216,13 +216,13 @@
     CPPUNIT_ASSERT(greetings * 100 <= 2'500);
   }
 
-  void AFewBalancersGreetAllAgents() {
+  void FewBalancersGreetAllAgents() {
     HearBalancers(1);
     HearAgents(10);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, m_gossip->AgentRound(At(0)).size());
   }
 
-  void ARestartedAgentIsToldWhatItsEndpointWas() {
+  void ARestartedAgentIsToldTheFormerStateOfItsEndpoint() {
     HearAgents(1);
     AgentReport restarted = Report(1, 0, EndpointStanding::kUnknown);
     restarted.life = base::Incarnation(99);
@@ -234,7 +234,7 @@
     CPPUNIT_ASSERT(welcome.greeting.memory_age == std::chrono::milliseconds(1500));
   }
 
-  void AbsentEndpointsAreNotListed() {
+  void AgentsWithoutEndpointAreNotListed() {
     m_core->OnReport(Node(kFirstAgent), Report(1, 0, EndpointStanding::kAbsent), At(0));
     HearBalancers(1);
     const auto round = m_gossip->PeerRound(At(0));
@@ -242,29 +242,29 @@
     CPPUNIT_ASSERT(round.front().greeting.agents.empty());
   }
 
-  void ManyPeersStayAliveOnSeldomNews() {
+  void ManyPeersStayAliveOnInfrequentUpdates() {
     HearBalancers(3);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_gossip->AliveCount(base::TimePoint(seconds(5))));
     HearBalancers(600);
     CPPUNIT_ASSERT_EQUAL(std::size_t{600}, m_gossip->AliveCount(base::TimePoint(seconds(5))));
   }
 
-  void TheAgeOfAContactTravelsWithGreetings() {
+  void GreetingsCarryTheAgeOfTheContact() {
     m_core->Tick(At(1'000));
     HearOfStore(1'000, 0, std::chrono::milliseconds(300));
     HearBalancers(2);
-    CPPUNIT_ASSERT(std::chrono::milliseconds(800) + StoreReaderRole::kHopTime ==
+    CPPUNIT_ASSERT(std::chrono::milliseconds(800) + StoreReaderRole::kHopAllowance ==
                    *m_gossip->PeerRound(At(1'500)).front().greeting.store_age);
   }
 
   // The configuration that the peer knows may be the one that isn't in force here.
-  void ANewerVersionSaysNothingOfOnesOwnAge() {
+  void AContactAgeOfANewerVersionIsIgnored() {
     m_core->Tick(At(1'000));
     HearOfStore(1'000, 4, base::Duration(0));
     CPPUNIT_ASSERT(!m_gossip->Reader().Age(At(1'000)));
   }
 
-  void GreetingsThatWaitedInAPauseSayNothingOfAges() {
+  void ContactAgesReceivedAfterAPauseAreIgnored() {
     m_core->Tick(At(1'000));
     HearOfStore(9'000, 0, base::Duration(0));  // woken after eight seconds, before any tick
     CPPUNIT_ASSERT(!m_gossip->Reader().Age(At(9'000)));
@@ -274,7 +274,7 @@
     CPPUNIT_ASSERT(m_gossip->Reader().Age(At(9'600)));
   }
 
-  void AContactIsPassedOnToAFewPeers() {
+  void AContactIsGossipedToAFewPeers() {
     m_core->Tick(At(1'000));
     HearBalancers(600);
     m_gossip->Reader().NoteContact(At(1'000));
--- a/libs/placement/tests/dead_flow_queue_test.cpp
+++ b/libs/placement/tests/dead_flow_queue_test.cpp
@@ -30,15 +30,15 @@
   CPPUNIT_TEST_SUITE(DeadFlowsTest);
   CPPUNIT_TEST(ResetsArePaced);
   CPPUNIT_TEST(TheListIsBounded);
-  CPPUNIT_TEST(IdleFlowsOfAGoneEndpointAreReset);
+  CPPUNIT_TEST(IdleFlowsOfALostEndpointAreReset);
   CPPUNIT_TEST(OnlyFlowsSeenHeldAndOpenAreReset);
-  CPPUNIT_TEST(AFlowBeingOpenedIsLeftAlone);
+  CPPUNIT_TEST(AFlowBeingOpenedIsNotReset);
   CPPUNIT_TEST(AFlowIsResetOnce);
   CPPUNIT_TEST(IdleFlowsOfAnAgentGivenUpAreReset);
-  CPPUNIT_TEST(FlowsOfALivingAgentAreLeftAlone);
-  CPPUNIT_TEST(AnswersUnderWayAreWaitedFor);
-  CPPUNIT_TEST(ABalancerThatWasPausedResetsNothing);
-  CPPUNIT_TEST(AYoungBalancerResetsNothing);
+  CPPUNIT_TEST(FlowsOfALiveAgentAreNotReset);
+  CPPUNIT_TEST(FlowsAwaitingAResponseAreNotResetBeforeTheTimeLimit);
+  CPPUNIT_TEST(ABalancerResetsNothingAfterAPause);
+  CPPUNIT_TEST(ALearningBalancerResetsNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -57,10 +57,10 @@
 
   void ResetsArePaced() {
     DeadFlowQueue dead;
-    for (std::uint16_t port = 0; port < DeadFlowQueue::kAtOnce + 5; ++port) {
+    for (std::uint16_t port = 0; port < DeadFlowQueue::kMaxBatchSize + 5; ++port) {
       CPPUNIT_ASSERT(dead.Add({Flow(port), 1}));
     }
-    CPPUNIT_ASSERT_EQUAL(DeadFlowQueue::kAtOnce, dead.TakeBatch().size());
+    CPPUNIT_ASSERT_EQUAL(DeadFlowQueue::kMaxBatchSize, dead.TakeBatch().size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, dead.TakeBatch().size());
     CPPUNIT_ASSERT(dead.TakeBatch().empty());
   }
@@ -73,7 +73,7 @@
     CPPUNIT_ASSERT(!dead.Add({Flow(1), 1}));
   }
 
-  void IdleFlowsOfAGoneEndpointAreReset() {
+  void IdleFlowsOfALostEndpointAreReset() {
     OpenAtAgent(1);
     OpenAtAgent(2);
     m_now += seconds(2);
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_agent->NoteEndpointGone(m_now));
   }
 
-  void AFlowBeingOpenedIsLeftAlone() {
+  void AFlowBeingOpenedIsNotReset() {
     OpenAtAgent(1);
     m_now += milliseconds(100);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_agent->NoteEndpointGone(m_now));
@@ -112,13 +112,13 @@
     CPPUNIT_ASSERT(m_reset == (std::vector<DeadFlow>{{Flow(1), 5000}}));
   }
 
-  void FlowsOfALivingAgentAreLeftAlone() {
+  void FlowsOfALiveAgentAreNotReset() {
     OpenAtBalancer();
     Pass(seconds(30), true);
     CPPUNIT_ASSERT(m_reset.empty());
   }
 
-  void AnswersUnderWayAreWaitedFor() {
+  void FlowsAwaitingAResponseAreNotResetBeforeTheTimeLimit() {
     RouteTable routes = Routes(2);
     routes.routes[testing::virtual_address].request_class.time_limit = seconds(20);
     m_balancer->SetRoutes(routes);
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_reset.size());
   }
 
-  void ABalancerThatWasPausedResetsNothing() {
+  void ABalancerResetsNothingAfterAPause() {
     OpenAtBalancer();
     m_now += seconds(20);
     Tick(true);
@@ -137,7 +137,7 @@
     CPPUNIT_ASSERT(m_reset.empty());
   }
 
-  void AYoungBalancerResetsNothing() {
+  void ALearningBalancerResetsNothing() {
     m_balancer.emplace(BalancerSettings{}, m_random, m_now);
     m_balancer->SetRoutes(Routes(1));
     m_balancer->NoteListed({Node(1), orders_service}, m_now);
--- a/libs/placement/tests/evacuated_zones_test.cpp
+++ b/libs/placement/tests/evacuated_zones_test.cpp
@@ -26,23 +26,23 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr std::int64_t kLearned = 5000;  // ms; the balancer has learned of all agents
+constexpr std::int64_t kLearnedAtMs = 5000;  // ms; the balancer has learned of all agents
 
 class EvacuatedZonesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuatedZonesTest);
   CPPUNIT_TEST(TheNewerVersionWins);
   CPPUNIT_TEST(GreetingsAndReportsCarryThem);
-  CPPUNIT_TEST(AListThatIsTooLongSaysNothing);
+  CPPUNIT_TEST(ATooLongListIsIgnored);
   CPPUNIT_TEST(ABalancerPlacesNoFlowInAnEvacuatedZone);
-  CPPUNIT_TEST(OpenFlowsOfAnEvacuatedZoneStay);
-  CPPUNIT_TEST(ACopyOfAnOpeningLeavesAnEvacuatedZone);
-  CPPUNIT_TEST(WithoutAnotherZoneAFlowIsRefusedAtOnce);
-  CPPUNIT_TEST(AFailingEndpointOfAnEvacuatedZoneIsNoWayOut);
-  CPPUNIT_TEST(AgentsOnlyNamedGetNothingDuringAnEvacuation);
-  CPPUNIT_TEST(AZoneTakenBackIsUsedAtOnce);
-  CPPUNIT_TEST(TheAgentIsTheLastGate);
-  CPPUNIT_TEST(AnAgentTellsItsBalancers);
-  CPPUNIT_TEST(NewsOfAnEvacuationArePassedOn);
+  CPPUNIT_TEST(OpenFlowsOfAnEvacuatedZoneAreKept);
+  CPPUNIT_TEST(ARetransmittedOpeningMovesFromAnEvacuatedZone);
+  CPPUNIT_TEST(AFlowIsResetAtOnceWhenAllZonesAreEvacuated);
+  CPPUNIT_TEST(AnEjectedEndpointOfAnEvacuatedZoneGetsNoFlow);
+  CPPUNIT_TEST(AgentsNotHeardYetGetNoFlowDuringAnEvacuation);
+  CPPUNIT_TEST(AReturnedZoneIsUsedAtOnce);
+  CPPUNIT_TEST(TheAgentRejectsFlowsOfItsEvacuatedZone);
+  CPPUNIT_TEST(AnAgentReportsEvacuatedZones);
+  CPPUNIT_TEST(AnEvacuationIsGossiped);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT(std::get<AgentReport>(*Transfer(report)).evacuated == report.evacuated);
   }
 
-  void AListThatIsTooLongSaysNothing() {
+  void ATooLongListIsIgnored() {
     BalancerGreeting greeting;
     greeting.evacuated = {9, std::vector<std::string>(EvacuatedZones::kMaxZones + 1, "east")};
     CPPUNIT_ASSERT(std::get<BalancerGreeting>(*Transfer(greeting)).evacuated == EvacuatedZones{});
@@ -93,7 +93,7 @@
     }
   }
 
-  void OpenFlowsOfAnEvacuatedZoneStay() {
+  void OpenFlowsOfAnEvacuatedZoneAreKept() {
     Hear(1, "east", 0);
     Send(Opening(Flow(1)));
     Hear(2, "west", 0);
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(1), 101)).agent);
   }
 
-  void ACopyOfAnOpeningLeavesAnEvacuatedZone() {
+  void ARetransmittedOpeningMovesFromAnEvacuatedZone() {
     Hear(1, "east", 0);
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
     Hear(2, "west", 0);
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT_EQUAL(Node(2), Send(Opening(Flow(1))).agent);
   }
 
-  void WithoutAnotherZoneAFlowIsRefusedAtOnce() {
+  void AFlowIsResetAtOnceWhenAllZonesAreEvacuated() {
     Hear(1, "east", 0);
     m_core->ApplyEvacuatedZones({5, {"east"}});
     const BalancerDecision decision = Send(Opening(Flow(1)));
@@ -117,7 +117,7 @@
     CPPUNIT_ASSERT(decision.reason == BalancerReason::kNoEndpoint);
   }
 
-  void AFailingEndpointOfAnEvacuatedZoneIsNoWayOut() {
+  void AnEjectedEndpointOfAnEvacuatedZoneGetsNoFlow() {
     AgentReport report = Report(1);
     report.is_ejected = true;
     m_core->OnReport(Node(1), report, m_now);
@@ -127,7 +127,7 @@
   }
 
   // Their zones aren't known, and they may be as young as the balancer.
-  void AgentsOnlyNamedGetNothingDuringAnEvacuation() {
+  void AgentsNotHeardYetGetNoFlowDuringAnEvacuation() {
     m_now = At(100);
     m_core->OnReport(Node(9), Report(1, 0, EndpointStanding::kLeaving), m_now);
     m_core->NoteListed({Node(1), orders_service}, m_now);
@@ -136,7 +136,7 @@
     CPPUNIT_ASSERT(Send(Opening(Flow(2))).verdict == BalancerVerdict::kDrop);
   }
 
-  void AZoneTakenBackIsUsedAtOnce() {
+  void AReturnedZoneIsUsedAtOnce() {
     Hear(1, "east", 0);
     m_core->ApplyEvacuatedZones({5, {"east"}});
     CPPUNIT_ASSERT(Send(Opening(Flow(1))).verdict == BalancerVerdict::kReset);
@@ -145,7 +145,7 @@
   }
 
   // Also against a balancer that was away and insists.
-  void TheAgentIsTheLastGate() {
+  void TheAgentRejectsFlowsOfItsEvacuatedZone() {
     AgentCore agent = MakeAgent();
     ForwardHeader header;
     header.service = orders_service;
@@ -161,13 +161,13 @@
   }
 
   // Agents outlive a loss of all balancers.
-  void AnAgentTellsItsBalancers() {
+  void AnAgentReportsEvacuatedZones() {
     AgentCore agent = MakeAgent();
     agent.ApplyEvacuatedZones({5, {"east"}}, m_now);
     CPPUNIT_ASSERT(agent.MakeReport(m_now).evacuated == (EvacuatedZones{5, {"east"}}));
   }
 
-  void NewsOfAnEvacuationArePassedOn() {
+  void AnEvacuationIsGossiped() {
     BalancerGossip gossip(Node(100), base::Incarnation(1), *m_core, m_random, m_now);
     bool is_new = false;
     for (std::uint32_t peer = 101; peer < 121; ++peer) {
@@ -221,7 +221,7 @@
 
   base::RandomSource m_random{1};
   std::optional<BalancerCore> m_core;
-  base::TimePoint m_now = At(kLearned);
+  base::TimePoint m_now = At(kLearnedAtMs);
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(EvacuatedZonesTest);
--- a/libs/placement/tests/flow_preference_test.cpp
+++ b/libs/placement/tests/flow_preference_test.cpp
@@ -36,12 +36,12 @@
   CPPUNIT_TEST_SUITE(FlowPreferenceTest);
   CPPUNIT_TEST(TheOrderDependsOnTheFlowOnly);
   CPPUNIT_TEST(EachZoneHasItsFirstTier);
-  CPPUNIT_TEST(AnAgentThatWasOnlyNamedKeepsItsPlace);
-  CPPUNIT_TEST(AnAgentThatGoesMovesOthersByOnePlace);
-  CPPUNIT_TEST(AYoungBalancerFindsFlowsInAsManyStepsAtAnySize);
-  CPPUNIT_TEST(FlowsAreFoundThoughATenthOfTheAgentsChanged);
-  CPPUNIT_TEST(FlowsAreFoundThoughNoAgentWasHeardYet);
-  CPPUNIT_TEST(WhereThePreferredOnesAreFullOthersAreTried);
+  CPPUNIT_TEST(AnAgentNotHeardYetHasTheSameRank);
+  CPPUNIT_TEST(RemovingAnAgentShiftsOthersByOneRank);
+  CPPUNIT_TEST(ANewBalancersSearchLengthDoesNotGrowWithTheFleet);
+  CPPUNIT_TEST(FlowsAreFoundAfterATenthOfTheAgentsChanged);
+  CPPUNIT_TEST(FlowsAreFoundBeforeAnyAgentWasHeard);
+  CPPUNIT_TEST(OtherAgentsAreTriedWhenThePreferredOnesAreFull);
   CPPUNIT_TEST(OpeningsAreSpreadOverAllAgents);
   CPPUNIT_TEST_SUITE_END();
 
@@ -50,25 +50,25 @@
     std::vector<KnownAgent> agents = Agents(60);
     std::vector<KnownAgent*> forward = PointersTo(agents);
     std::vector<KnownAgent*> backward(forward.rbegin(), forward.rend());
-    CPPUNIT_ASSERT(FirstForFlow(1, forward) == FirstForFlow(1, backward));
-    CPPUNIT_ASSERT(FirstForFlow(1, forward) != FirstForFlow(2, forward));
+    CPPUNIT_ASSERT(PreferredForFlow(1, forward) == PreferredForFlow(1, backward));
+    CPPUNIT_ASSERT(PreferredForFlow(1, forward) != PreferredForFlow(2, forward));
   }
 
   void EachZoneHasItsFirstTier() {
     std::vector<KnownAgent> agents = Agents(544);
     std::map<std::uint32_t, std::size_t> first;
-    for (const KnownAgent* agent : FirstForFlow(7, PointersTo(agents))) {
+    for (const KnownAgent* agent : PreferredForFlow(7, PointersTo(agents))) {
       ++first[agent->zone];
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kZones}, first.size());
     for (const auto& [zone, count] : first) {
-      CPPUNIT_ASSERT_EQUAL(kPreferencePerZone, count);
+      CPPUNIT_ASSERT_EQUAL(kPreferredPerZone, count);
     }
     std::vector<KnownAgent> few = Agents(12);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{12}, FirstForFlow(7, PointersTo(few)).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{12}, PreferredForFlow(7, PointersTo(few)).size());
   }
 
-  void AnAgentThatWasOnlyNamedKeepsItsPlace() {
+  void AnAgentNotHeardYetHasTheSameRank() {
     AgentDirectory heard(100, std::chrono::seconds(1));
     AgentDirectory named(100, std::chrono::seconds(1));
     for (std::uint32_t number = 0; number < 60; ++number) {
@@ -79,7 +79,7 @@
     }
     const auto addresses = [](AgentDirectory& directory) {
       std::vector<base::SocketAddress> list;
-      for (const KnownAgent* agent : FirstForFlow(9, directory.OfService(orders_service))) {
+      for (const KnownAgent* agent : PreferredForFlow(9, directory.OfService(orders_service))) {
         list.push_back(agent->address);
       }
       return list;
@@ -87,12 +87,12 @@
     CPPUNIT_ASSERT(addresses(heard) == addresses(named));
   }
 
-  void AnAgentThatGoesMovesOthersByOnePlace() {
+  void RemovingAnAgentShiftsOthersByOneRank() {
     std::vector<KnownAgent> agents = Agents(544);
     std::vector<KnownAgent*> all = PointersTo(agents);
-    const std::vector<KnownAgent*> before = FirstForFlow(3, all);
+    const std::vector<KnownAgent*> before = PreferredForFlow(3, all);
     std::erase(all, before.front());
-    const std::vector<KnownAgent*> after = FirstForFlow(3, all);
+    const std::vector<KnownAgent*> after = PreferredForFlow(3, all);
     CPPUNIT_ASSERT_EQUAL(before.size(), after.size());
     const auto stays = [&](const KnownAgent* agent) {
       return std::find(after.begin(), after.end(), agent) != after.end();
@@ -100,19 +100,19 @@
     CPPUNIT_ASSERT(std::all_of(before.begin() + 1, before.end(), stays));
   }
 
-  void AYoungBalancerFindsFlowsInAsManyStepsAtAnySize() {
+  void ANewBalancersSearchLengthDoesNotGrowWithTheFleet() {
     for (const std::uint32_t size : {60U, 544U, 3'800U}) {
       Restart(size);
       const std::vector<base::SocketAddress> holders = PlaceAll();
       Restart(size);
       for (std::uint16_t port = 0; port < kFlows; ++port) {
-        CPPUNIT_ASSERT(StepsTo(holders[port], port) <= kPreferencePerZone * kZones);
+        CPPUNIT_ASSERT(CountAgentsAskedUntil(holders[port], port) <= kPreferredPerZone * kZones);
       }
     }
   }
 
   // Others have come in their place since the flows were opened.
-  void FlowsAreFoundThoughATenthOfTheAgentsChanged() {
+  void FlowsAreFoundAfterATenthOfTheAgentsChanged() {
     Restart(544);
     const std::vector<base::SocketAddress> holders = PlaceAll();
     m_core = MakeCore();
@@ -124,14 +124,15 @@
     for (std::uint16_t port = 0; port < kFlows; ++port) {
       const bool has_gone = m_core->Agents().Find(holders[port]) == nullptr;
       still_there += has_gone ? 0 : 1;
-      found_first += !has_gone && StepsTo(holders[port], port) <= 2 * SearchRoute::kMaxAgents;
+      found_first +=
+          !has_gone && CountAgentsAskedUntil(holders[port], port) <= 2 * SearchRoute::kMaxAgents;
     }
     CPPUNIT_ASSERT(still_there > kFlows / 2);
     CPPUNIT_ASSERT_EQUAL(still_there, found_first);
   }
 
   // The first packets come while a balancer that has just started knows names only.
-  void FlowsAreFoundThoughNoAgentWasHeardYet() {
+  void FlowsAreFoundBeforeAnyAgentWasHeard() {
     Restart(544);
     const std::vector<base::SocketAddress> holders = PlaceAll();
     m_core = MakeCore();
@@ -139,11 +140,11 @@
       m_core->NoteListed({Node(number), orders_service, ZoneHash(ZoneOf(number))}, m_now);
     }
     for (std::uint16_t port = 0; port < kFlows; ++port) {
-      CPPUNIT_ASSERT(StepsTo(holders[port], port) <= kPreferencePerZone * kZones);
+      CPPUNIT_ASSERT(CountAgentsAskedUntil(holders[port], port) <= kPreferredPerZone * kZones);
     }
   }
 
-  void WhereThePreferredOnesAreFullOthersAreTried() {
+  void OtherAgentsAreTriedWhenThePreferredOnesAreFull() {
     Restart(544);
     std::vector<base::SocketAddress> asked;
     BalancerDecision decision = m_core->OnClientPacket(Opening(Flow(1)), m_now);
@@ -221,7 +222,7 @@
   }
 
   // Returns how many agents a search asks until it comes to the holder.
-  std::size_t StepsTo(const base::SocketAddress& holder, std::uint16_t port) {
+  std::size_t CountAgentsAskedUntil(const base::SocketAddress& holder, std::uint16_t port) {
     const FlowPacket packet = Data(Flow(port), 101);
     BalancerDecision decision = m_core->OnClientPacket(packet, m_now);
     std::size_t steps = 0;
--- a/libs/placement/tests/flow_snapshot_test.cpp
+++ b/libs/placement/tests/flow_snapshot_test.cpp
@@ -26,38 +26,38 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr char kFormer[] = "i-1";
-constexpr char kPresent[] = "i-2";
+constexpr char kFormerEndpoint[] = "i-1";
+constexpr char kPresentEndpoint[] = "i-2";
 
 class FlowSnapshotTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FlowSnapshotTest);
-  CPPUNIT_TEST(ASnapshotIsReadAsItWasWritten);
+  CPPUNIT_TEST(SnapshotsRoundTrip);
   CPPUNIT_TEST(MalformedSnapshotsAreRefused);
   CPPUNIT_TEST(TooManyFlowsAreRefused);
-  CPPUNIT_TEST(SettledFlowsAreSaved);
-  CPPUNIT_TEST(AFlowThatIsYoungerThanTheReportIsntSaved);
-  CPPUNIT_TEST(FlowsOfAnUncertainEndpointArentSaved);
+  CPPUNIT_TEST(FlowsHeldForLongEnoughAreSaved);
+  CPPUNIT_TEST(FlowsHeldForTooShortATimeAreNotSaved);
+  CPPUNIT_TEST(FlowsOfAnUnconfirmedIncarnationAreNotSaved);
   CPPUNIT_TEST(FlowsOfAnotherIncarnationAreReset);
   CPPUNIT_TEST(FlowsOfTheSameIncarnationAreNeverReset);
-  CPPUNIT_TEST(OneWordOfAnotherIncarnationIsntEnough);
-  CPPUNIT_TEST(OneWordOfALaterStartIsEnough);
-  CPPUNIT_TEST(ReturnsConfirmIt);
+  CPPUNIT_TEST(OneAnnouncementOfAnotherIncarnationIsNotEnough);
+  CPPUNIT_TEST(OneAnnouncementOfALaterStartIsEnough);
+  CPPUNIT_TEST(ReturnedFlowsConfirmAnIncarnation);
   CPPUNIT_TEST(OneReturnConfirmsAFirstAnnouncement);
   CPPUNIT_TEST(FlowsOfAnAbsentEndpointAreReset);
   CPPUNIT_TEST(SnapshotsAreWrittenWhenManyFlowsAreNew);
-  CPPUNIT_TEST(SnapshotsThatWouldBeTooOldAreNotWritten);
+  CPPUNIT_TEST(SnapshotsAreNotWrittenInLargeDeployments);
   CPPUNIT_TEST(AReportBeforeTheSnapshotCounts);
-  CPPUNIT_TEST(AFlowThatIsHeldElsewhereIsLeftAlone);
+  CPPUNIT_TEST(AFlowHeldElsewhereIsNotReset);
   CPPUNIT_TEST(ASavedHolderIsAskedAtOnce);
-  CPPUNIT_TEST(SavedFlowsNotHeardYetAreSavedAgain);
-  CPPUNIT_TEST(AnOldSnapshotIsForgotten);
+  CPPUNIT_TEST(SavedFlowsWithoutAPacketAreSavedAgain);
+  CPPUNIT_TEST(AnOldSnapshotIsDiscarded);
   CPPUNIT_TEST(OnlyTheFirstSnapshotCounts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { Restart(At(10'000)); }
 
-  void ASnapshotIsReadAsItWasWritten() {
+  void SnapshotsRoundTrip() {
     const std::vector<SavedFlow> flows = {Saved(1), Saved(2), Saved(3, 2), Saved(4, 1, "i-9")};
     const auto read = DecodeFlowSnapshot(EncodeFlowSnapshot(flows), kNodePort);
     CPPUNIT_ASSERT(read == flows);
@@ -83,56 +83,56 @@
     CPPUNIT_ASSERT(!DecodeFlowSnapshot(bytes + bytes, kNodePort));
   }
 
-  void SettledFlowsAreSaved() {
+  void FlowsHeldForLongEnoughAreSaved() {
     OpenFlow();
     m_now += seconds(3);
-    Hear(kFormer);
+    Hear(kFormerEndpoint);
     CPPUNIT_ASSERT(m_core->MakeSnapshot() == std::vector<SavedFlow>{Saved(1)});
   }
 
-  void AFlowThatIsYoungerThanTheReportIsntSaved() {
+  void FlowsHeldForTooShortATimeAreNotSaved() {
     OpenFlow();
     m_now += milliseconds(2900);
-    Hear(kFormer);
+    Hear(kFormerEndpoint);
     CPPUNIT_ASSERT(m_core->MakeSnapshot().empty());
   }
 
-  void FlowsOfAnUncertainEndpointArentSaved() {
+  void FlowsOfAnUnconfirmedIncarnationAreNotSaved() {
     OpenFlow();
     m_now += seconds(3);
-    Hear(kFormer, false);
+    Hear(kFormerEndpoint, false);
     CPPUNIT_ASSERT(m_core->MakeSnapshot().empty());
   }
 
   void FlowsOfAnotherIncarnationAreReset() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1), Saved(2, 2)}, m_now);
-    Hear(kPresent);
+    Hear(kPresentEndpoint);
     CPPUNIT_ASSERT(Reset() == (std::vector<DeadFlow>{{Flow(1), 5000}}));
-    Hear(kPresent);
+    Hear(kPresentEndpoint);
     CPPUNIT_ASSERT(Reset().empty());
   }
 
   void FlowsOfTheSameIncarnationAreNeverReset() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1)}, m_now);
-    Hear(kFormer);
+    Hear(kFormerEndpoint);
     m_core->OnClientPacket(Data(Flow(1), 101), m_now);
-    Hear(kFormer);
+    Hear(kFormerEndpoint);
     CPPUNIT_ASSERT(Reset().empty());
   }
 
-  void OneWordOfAnotherIncarnationIsntEnough() {
+  void OneAnnouncementOfAnotherIncarnationIsNotEnough() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1)}, m_now);
-    Hear(kPresent, false);
+    Hear(kPresentEndpoint, false);
     CPPUNIT_ASSERT(Reset().empty());
-    Hear(kFormer);
+    Hear(kFormerEndpoint);
     CPPUNIT_ASSERT(Reset().empty());
   }
 
   // Endpoints that say when they started are believed at once, unless the word may be a late one.
-  void OneWordOfALaterStartIsEnough() {
+  void OneAnnouncementOfALaterStartIsEnough() {
     constexpr std::uint64_t kStart = 1'000'000;
     SavedFlow saved = Saved(1);
-    saved.endpoint = EndpointHash({kFormer, kStart});
+    saved.endpoint = EndpointHash({kFormerEndpoint, kStart});
     saved.endpoint_started_ms = kStart;
     const auto read =
         DecodeFlowSnapshot(EncodeFlowSnapshot(std::vector<SavedFlow>{saved}), kNodePort);
@@ -140,22 +140,22 @@
     for (const std::uint64_t start : {std::uint64_t{0}, kStart - 5000}) {
       Restart(m_now);
       m_core->TakeSnapshot(*read, m_now);
-      HearIncarnation({kPresent, start});
+      HearIncarnation({kPresentEndpoint, start});
       CPPUNIT_ASSERT(Reset().empty());
     }
-    HearIncarnation({kFormer, kStart});
+    HearIncarnation({kFormerEndpoint, kStart});
     CPPUNIT_ASSERT(Reset().empty());
-    HearIncarnation({kFormer, kStart + 2500});  // it kept its identifier
+    HearIncarnation({kFormerEndpoint, kStart + 2500});  // it kept its identifier
     CPPUNIT_ASSERT(Reset() == (std::vector<DeadFlow>{{Flow(1), 5000}}));
   }
 
-  void ReturnsConfirmIt() {
+  void ReturnedFlowsConfirmAnIncarnation() {
     std::vector<SavedFlow> flows;
     for (std::uint16_t port = 1; port <= FlowRecovery::kReturnsNeeded + 2; ++port) {
       flows.push_back(Saved(port));
     }
     m_core->TakeSnapshot(flows, m_now);
-    Hear(kPresent, false);
+    Hear(kPresentEndpoint, false);
     for (std::uint16_t port = 1; port < FlowRecovery::kReturnsNeeded; ++port) {
       CPPUNIT_ASSERT(SendAndReturn(port).verdict != BalancerVerdict::kReset);
       CPPUNIT_ASSERT(SendAndReturn(port).verdict != BalancerVerdict::kReset);
@@ -167,7 +167,7 @@
 
   void OneReturnConfirmsAFirstAnnouncement() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1), Saved(2)}, m_now);
-    Hear(kPresent, false, 1);
+    Hear(kPresentEndpoint, false, 1);
     CPPUNIT_ASSERT(Reset().empty());
     CPPUNIT_ASSERT(SendAndReturn(1).verdict == BalancerVerdict::kReset);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, Reset().size());
@@ -182,7 +182,7 @@
   }
 
   // The fleet's calls are bounded, so that each balancer's turn comes later the more there are.
-  void SnapshotsThatWouldBeTooOldAreNotWritten() {
+  void SnapshotsAreNotWrittenInLargeDeployments() {
     CPPUNIT_ASSERT(seconds(5) == SnapshotSchedule::Period(seconds(5), 10));
     CPPUNIT_ASSERT(seconds(15) == SnapshotSchedule::Period(seconds(5), 60));
     CPPUNIT_ASSERT(!SnapshotSchedule::Period(seconds(5), 61));
@@ -204,19 +204,19 @@
     flows[0] = Saved(11);
     CPPUNIT_ASSERT(schedule.TakeDue(flows, m_now));
     CPPUNIT_ASSERT(!schedule.TakeDue(flows, m_now + milliseconds(14'999)));
-    CPPUNIT_ASSERT(schedule.TakeDue(flows, m_now + SnapshotSchedule::kLongest));
+    CPPUNIT_ASSERT(schedule.TakeDue(flows, m_now + SnapshotSchedule::kMaxInterval));
   }
 
   void AReportBeforeTheSnapshotCounts() {
-    Hear(kPresent);
+    Hear(kPresentEndpoint);
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1)}, m_now);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Reset().size());
   }
 
-  void AFlowThatIsHeldElsewhereIsLeftAlone() {
+  void AFlowHeldElsewhereIsNotReset() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1)}, m_now);
     m_core->OnHolderNotice(Flow(1), Node(2), testing::orders_service, m_now);
-    Hear(kPresent);
+    Hear(kPresentEndpoint);
     CPPUNIT_ASSERT(Reset().empty());
   }
 
@@ -231,35 +231,35 @@
     CPPUNIT_ASSERT(decision.route.empty());
   }
 
-  void SavedFlowsNotHeardYetAreSavedAgain() {
+  void SavedFlowsWithoutAPacketAreSavedAgain() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1), Saved(2, 2)}, m_now);
     CPPUNIT_ASSERT(m_core->MakeSnapshot().empty());
-    Hear(kFormer);
+    Hear(kFormerEndpoint);
     CPPUNIT_ASSERT(m_core->MakeSnapshot() == std::vector<SavedFlow>{Saved(1)});
-    Hear(kPresent);
+    Hear(kPresentEndpoint);
     CPPUNIT_ASSERT(m_core->MakeSnapshot().empty());
   }
 
-  void AnOldSnapshotIsForgotten() {
+  void AnOldSnapshotIsDiscarded() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1)}, m_now);
     for (int tick = 0; tick < 80; ++tick) {
       m_now += milliseconds(250);
       m_core->Tick(m_now);
     }
-    Hear(kPresent);
+    Hear(kPresentEndpoint);
     CPPUNIT_ASSERT(Reset().empty());
   }
 
   void OnlyTheFirstSnapshotCounts() {
     m_core->TakeSnapshot({}, m_now);
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1)}, m_now);
-    Hear(kPresent);
+    Hear(kPresentEndpoint);
     CPPUNIT_ASSERT(Reset().empty());
   }
 
  private:
   static SavedFlow Saved(std::uint16_t port, std::uint32_t agent = 1,
-                         const char* endpoint = kFormer) {
+                         const char* endpoint = kFormerEndpoint) {
     return {Flow(port), 5000, Node(agent), EndpointHash({endpoint}), 0};
   }
 
@@ -287,7 +287,7 @@
   }
 
   void OpenFlow() {
-    Hear(kFormer);
+    Hear(kFormerEndpoint);
     m_core->OnClientPacket(Opening(Flow(1)), m_now);
     m_core->OnClientPacket(Data(Flow(1), 101), m_now);
   }
--- a/libs/placement/tests/node_knowledge_test.cpp
+++ b/libs/placement/tests/node_knowledge_test.cpp
@@ -27,14 +27,14 @@
 class NodeKnowledgeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeKnowledgeTest);
   CPPUNIT_TEST(LateReportsAreRefused);
-  CPPUNIT_TEST(LivesHaveNoOrder);
-  CPPUNIT_TEST(TheMemoryOfAnEndpointOutlivesItsAgent);
+  CPPUNIT_TEST(LivesAreNotOrdered);
+  CPPUNIT_TEST(TheStateOfAnEndpointSurvivesItsAgentsRestart);
   CPPUNIT_TEST(AListedAgentIsNotFresh);
   CPPUNIT_TEST(AnAgentThatReportsLessOftenStaysFreshForLonger);
   CPPUNIT_TEST(ANoticeUpdatesTheLoadOfAKnownAgent);
-  CPPUNIT_TEST(ANoticeThatIsLateOrOfAnotherLifeSaysNothing);
-  CPPUNIT_TEST(NoticesAreReadAsWritten);
-  CPPUNIT_TEST(NoticesCarryWhatFits);
+  CPPUNIT_TEST(ANoticeThatIsLateOrOfAnotherLifeIsIgnored);
+  CPPUNIT_TEST(NoticesRoundTrip);
+  CPPUNIT_TEST(NoticeValuesAreClampedToTheirFields);
   CPPUNIT_TEST(MalformedNoticesAreRefused);
   CPPUNIT_TEST(SlowAndColdEndpointsCountAsLoaded);
   CPPUNIT_TEST(OwnOpeningsSinceTheReportCount);
@@ -43,11 +43,11 @@
   CPPUNIT_TEST(SilentBalancersAreForgotten);
   CPPUNIT_TEST(WeightsGiveShares);
   CPPUNIT_TEST(AWeightOfZeroGetsNothing);
-  CPPUNIT_TEST(HeadersAreReadAsWritten);
-  CPPUNIT_TEST(RoutesAreReadAsWritten);
+  CPPUNIT_TEST(HeadersRoundTrip);
+  CPPUNIT_TEST(SearchRoutesRoundTrip);
   CPPUNIT_TEST(MalformedHeadersAreRefused);
-  CPPUNIT_TEST(ReportsAreReadAsWritten);
-  CPPUNIT_TEST(GreetingsAreReadAsWritten);
+  CPPUNIT_TEST(ReportsRoundTrip);
+  CPPUNIT_TEST(GreetingsRoundTrip);
   CPPUNIT_TEST(MalformedMessagesAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT(m_agents.Take(Node(1), leaving, At(0)) == ReportOutcome::kStandingChanged);
   }
 
-  void LivesHaveNoOrder() {
+  void LivesAreNotOrdered() {
     AgentReport second = Report(1);
     second.life = base::Incarnation(3);  // smaller than the first one's
     m_agents.Take(Node(1), Report(50), At(0));
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(m_agents.Take(Node(1), Report(51), At(0)) == ReportOutcome::kLate);
   }
 
-  void TheMemoryOfAnEndpointOutlivesItsAgent() {
+  void TheStateOfAnEndpointSurvivesItsAgentsRestart() {
     m_agents.Take(Node(1), Report(50), At(0));
     AgentReport restarted = Report(1, 0, EndpointStanding::kUnknown);
     restarted.life = base::Incarnation(3);
@@ -119,7 +119,7 @@
     CPPUNIT_ASSERT(agent.heard_at == At(500));
   }
 
-  void ANoticeThatIsLateOrOfAnotherLifeSaysNothing() {
+  void ANoticeThatIsLateOrOfAnotherLifeIsIgnored() {
     CPPUNIT_ASSERT(!m_agents.TakeLoad(Node(1), MakeLoadNotice(Report(6, 3)), At(0)));
     m_agents.NoteListed({Node(2), testing::orders_service}, At(0));
     CPPUNIT_ASSERT(!m_agents.TakeLoad(Node(2), MakeLoadNotice(Report(6, 3)), At(0)));
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, m_agents.Find(Node(1))->report.load.busy);
   }
 
-  void NoticesAreReadAsWritten() {
+  void NoticesRoundTrip() {
     LoadNotice notice = MakeLoadNotice(Report(77, 3));
     notice.busy_average = 2.5;
     notice.open_flows = 40;
@@ -146,7 +146,7 @@
     CPPUNIT_ASSERT(!read.IsNewerThan(Report(77)));
   }
 
-  void NoticesCarryWhatFits() {
+  void NoticeValuesAreClampedToTheirFields() {
     LoadNotice notice = MakeLoadNotice(Report(1, 1'000'000));
     notice.answer_time = std::chrono::hours(10);
     const auto bytes = EncodeLoadNotice(notice);
@@ -239,7 +239,7 @@
     CPPUNIT_ASSERT(route.Choose(5) == testing::orders_service);
   }
 
-  void HeadersAreReadAsWritten() {
+  void HeadersRoundTrip() {
     ForwardHeader header;
     header.kind = MessageKind::kReturned;
     header.is_search = true;
@@ -252,11 +252,11 @@
     CPPUNIT_ASSERT(DecodeForwardHeader(EncodeForwardHeader(header)) == header);
     header.kind = MessageKind::kForward;
     header.reason = ReturnReason::kNone;
-    header.busy_limit = ForwardHeader::kLargestLimit;
+    header.busy_limit = ForwardHeader::kMaxBusyLimit;
     CPPUNIT_ASSERT(DecodeForwardHeader(EncodeForwardHeader(header)) == header);
   }
 
-  void RoutesAreReadAsWritten() {
+  void SearchRoutesRoundTrip() {
     ForwardHeader header;
     header.has_route = true;
     const SearchRoute route{Node(1), {Node(2), Node(3)}};
@@ -288,7 +288,7 @@
     }
   }
 
-  void ReportsAreReadAsWritten() {
+  void ReportsRoundTrip() {
     AgentReport report = Report(9, 3, EndpointStanding::kLeaving);
     report.wants_memory = true;
     report.load.warm_up_left = milliseconds(70);
@@ -307,7 +307,7 @@
     CPPUNIT_ASSERT(report.period == result.period);
   }
 
-  void GreetingsAreReadAsWritten() {
+  void GreetingsRoundTrip() {
     BalancerGreeting greeting;
     greeting.life = base::Incarnation(8);
     greeting.routes_version = 6;
--- a/libs/placement/tests/report_schedule_test.cpp
+++ b/libs/placement/tests/report_schedule_test.cpp
@@ -22,18 +22,18 @@
   CPPUNIT_TEST(TheFirstRoundIsDueAtOnce);
   CPPUNIT_TEST(AnAgentsFirstRoundsAreShort);
   CPPUNIT_TEST(RoundsAreShortInSmallDeployments);
-  CPPUNIT_TEST(ABalancerHearsABoundedNumberOfReports);
-  CPPUNIT_TEST(AnAgentSendsABoundedNumberOfReports);
-  CPPUNIT_TEST(ABalancerThatUsesTheAgentIsToldBetweenRounds);
-  CPPUNIT_TEST(ABalancerThatKeepsUsingItIsToldSeldomEnough);
-  CPPUNIT_TEST(ARoundTellsUsersToo);
-  CPPUNIT_TEST(ShortRoundsNeedNoReportsBetween);
+  CPPUNIT_TEST(ReportsPerBalancerAreBounded);
+  CPPUNIT_TEST(ReportsPerAgentAreBounded);
+  CPPUNIT_TEST(ABalancerThatUsesTheAgentGetsReportsBetweenRounds);
+  CPPUNIT_TEST(ReportsBetweenRoundsAreRateLimited);
+  CPPUNIT_TEST(ARoundCountsAsAReportToUsers);
+  CPPUNIT_TEST(ShortRoundsNeedNoReportsBetweenThem);
   CPPUNIT_TEST(ALongRoundIsSpreadOverItsPeriod);
   CPPUNIT_TEST(AShortRoundIsNotSpread);
-  CPPUNIT_TEST(AgentsThatStartTogetherGoThroughBalancersInOtherOrders);
-  CPPUNIT_TEST(TellingAllAtOnceDoesNotEndASpreadRound);
-  CPPUNIT_TEST(QuestionsAreAnsweredAtABoundedRate);
-  CPPUNIT_TEST(ABalancerIsToldOfALongerPeriodBeforeItMissesReports);
+  CPPUNIT_TEST(AgentsReportToBalancersInDifferentOrders);
+  CPPUNIT_TEST(ReportingToAllAtOnceDoesNotEndASpreadRound);
+  CPPUNIT_TEST(AnswersAreRateLimited);
+  CPPUNIT_TEST(ALongerPeriodIsReportedBeforeReportsAreMissed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -55,22 +55,22 @@
 
   void RoundsAreShortInSmallDeployments() {
     Round(4, 2, At(0));
-    CPPUNIT_ASSERT(ReportSchedule::kShortestPeriod == m_schedule.Period());
+    CPPUNIT_ASSERT(ReportSchedule::kMinPeriod == m_schedule.Period());
     CPPUNIT_ASSERT(!m_schedule.IsRoundDue(At(199)));
     CPPUNIT_ASSERT(m_schedule.IsRoundDue(At(200)));
   }
 
-  void ABalancerHearsABoundedNumberOfReports() {
+  void ReportsPerBalancerAreBounded() {
     constexpr std::size_t kAgents = 3'800;  // the target of CONTRIBUTING
     const base::Duration period = ReportSchedule::RoundPeriod(660, kAgents);
     CPPUNIT_ASSERT(period >= milliseconds(80) * static_cast<int>(kAgents));
   }
 
-  void AnAgentSendsABoundedNumberOfReports() {
+  void ReportsPerAgentAreBounded() {
     CPPUNIT_ASSERT(ReportSchedule::RoundPeriod(660, 10) >= milliseconds(25) * 660);
   }
 
-  void ABalancerThatUsesTheAgentIsToldBetweenRounds() {
+  void ABalancerThatUsesTheAgentGetsReportsBetweenRounds() {
     Round(84, 214, At(0));
     CPPUNIT_ASSERT(m_schedule.Period() > seconds(2));
     m_schedule.NoteUse(Node(1));
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT(users == std::vector<base::SocketAddress>{Node(1)});
   }
 
-  void ABalancerThatKeepsUsingItIsToldSeldomEnough() {
+  void ReportsBetweenRoundsAreRateLimited() {
     Round(84, 214, At(0));
     m_schedule.NoteUse(Node(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_schedule.TakeUsers(At(500)).size());
@@ -91,14 +91,14 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_schedule.TakeUsers(At(1200)).size());
   }
 
-  void ARoundTellsUsersToo() {
+  void ARoundCountsAsAReportToUsers() {
     Round(84, 214, At(0));
     m_schedule.NoteUse(Node(1));
     Round(84, 214, At(9000));
     CPPUNIT_ASSERT(m_schedule.TakeUsers(At(9500)).empty());
   }
 
-  void ShortRoundsNeedNoReportsBetween() {
+  void ShortRoundsNeedNoReportsBetweenThem() {
     Round(4, 2, At(0));
     m_schedule.NoteUse(Node(1));
     CPPUNIT_ASSERT(m_schedule.TakeUsers(At(10'000)).empty());
@@ -126,7 +126,7 @@
   }
 
   // A balancer that has just started hears one of them at once, not all after a whole period.
-  void AgentsThatStartTogetherGoThroughBalancersInOtherOrders() {
+  void AgentsReportToBalancersInDifferentOrders() {
     constexpr std::uint64_t kAgentCount = 204;
     std::set<std::int64_t> heard;  // in parts of a second
     for (std::uint64_t agent = 0; agent < kAgentCount; ++agent) {
@@ -145,7 +145,7 @@
     CPPUNIT_ASSERT(heard.size() > 25);  // of 33 in a period of 16.3 s
   }
 
-  void TellingAllAtOnceDoesNotEndASpreadRound() {
+  void ReportingToAllAtOnceDoesNotEndASpreadRound() {
     BeginRound(m_schedule, 1, 6'000);
     m_schedule.TakeShare(At(7'000));
     m_schedule.NoteRound(kBalancers, At(7'000));
@@ -154,7 +154,7 @@
 
   // A balancer takes an agent for gone after three of the periods that it was told. Those grow
   // after an agent's first seconds, and when it learns how many agents there are.
-  void ABalancerIsToldOfALongerPeriodBeforeItMissesReports() {
+  void ALongerPeriodIsReportedBeforeReportsAreMissed() {
     struct Told {
       base::TimePoint at{};
       base::Duration period{0};
@@ -179,7 +179,7 @@
     CPPUNIT_ASSERT(schedule.Period() > seconds(10));
   }
 
-  void QuestionsAreAnsweredAtABoundedRate() {
+  void AnswersAreRateLimited() {
     int answered = 0;
     for (int question = 0; question < 660; ++question) {
       answered += m_schedule.TakeAnswer(At(10'000)) ? 1 : 0;
--- a/libs/placement/tests/store_reader_role_test.cpp
+++ b/libs/placement/tests/store_reader_role_test.cpp
@@ -21,21 +21,21 @@
 
 class StoreReaderRoleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreReaderRoleTest);
-  CPPUNIT_TEST(AYoungBalancerReadsOnceAndThenWaits);
-  CPPUNIT_TEST(AFewWatchHoweverManyThereAre);
-  CPPUNIT_TEST(InASmallDeploymentAllWatch);
-  CPPUNIT_TEST(WhoeverHearsOfNoContactReadsInTime);
-  CPPUNIT_TEST(FewTakeOverAtTheSameMoment);
-  CPPUNIT_TEST(NewsOfAContactEndATakeOver);
-  CPPUNIT_TEST(AReaderThatIsRefusedLeavesTheStoreToOthers);
-  CPPUNIT_TEST(AStoreThatRefusesAllIsAskedAtABoundedRate);
-  CPPUNIT_TEST(AContactIsPassedOnOnce);
-  CPPUNIT_TEST(KnowledgeThatGoesRoundAges);
-  CPPUNIT_TEST(RanksDifferFromDutyToDuty);
+  CPPUNIT_TEST(ANewBalancerReadsOnceAndThenWaits);
+  CPPUNIT_TEST(TheNumberOfReadersDoesNotGrowWithTheDeployment);
+  CPPUNIT_TEST(AllBalancersWatchInASmallDeployment);
+  CPPUNIT_TEST(EveryBalancerReadsInTimeWithoutAContact);
+  CPPUNIT_TEST(FewBalancersTakeOverAtOnce);
+  CPPUNIT_TEST(ANewerContactEndsATakeOver);
+  CPPUNIT_TEST(ARejectedReaderBacksOffWhileOthersReachTheStore);
+  CPPUNIT_TEST(AStoreThatRejectsAllIsCalledAtABoundedRate);
+  CPPUNIT_TEST(AContactIsGossipedOnce);
+  CPPUNIT_TEST(AContactAgeGrowsWhileItCirculates);
+  CPPUNIT_TEST(RanksDifferBetweenDuties);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AYoungBalancerReadsOnceAndThenWaits() {
+  void ANewBalancerReadsOnceAndThenWaits() {
     StoreReaderRole& role = MakeRoles(1).front();
     CPPUNIT_ASSERT(role.ShouldRead({}, At(0)));
     role.NoteContact(At(5));
@@ -43,7 +43,7 @@
     CPPUNIT_ASSERT(role.ShouldRead({}, At(600)));
   }
 
-  void AFewWatchHoweverManyThereAre() {
+  void TheNumberOfReadersDoesNotGrowWithTheDeployment() {
     for (const std::uint32_t balancers : {4U, 30U, 91U, 660U}) {
       std::vector<StoreReaderRole>& roles = MakeRoles(balancers);
       Hear(roles, 1'000);
@@ -51,14 +51,14 @@
     }
   }
 
-  void InASmallDeploymentAllWatch() {
+  void AllBalancersWatchInASmallDeployment() {
     std::vector<StoreReaderRole>& roles = MakeRoles(3);
     Hear(roles, 1'000);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, Reading(roles, 1'100));
   }
 
   // All readers are gone, or cut off, or turned away.
-  void WhoeverHearsOfNoContactReadsInTime() {
+  void EveryBalancerReadsInTimeWithoutAContact() {
     for (const std::uint32_t balancers : {4U, 91U, 660U}) {
       std::vector<StoreReaderRole>& roles = MakeRoles(balancers);
       Hear(roles, 1'000);
@@ -71,7 +71,7 @@
     }
   }
 
-  void FewTakeOverAtTheSameMoment() {
+  void FewBalancersTakeOverAtOnce() {
     std::vector<StoreReaderRole>& roles = MakeRoles(91);
     Hear(roles, 1'000);
     std::size_t reading = 0;
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT(reading <= 3);
   }
 
-  void NewsOfAContactEndATakeOver() {
+  void ANewerContactEndsATakeOver() {
     std::vector<StoreReaderRole>& roles = MakeRoles(91);
     Hear(roles, 1'000);
     for (int time = 4'600; time < 7'000; time += 50) {
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_EQUAL(StoreReaderRole::kReaders, Reading(roles, 7'000));
   }
 
-  void AReaderThatIsRefusedLeavesTheStoreToOthers() {
+  void ARejectedReaderBacksOffWhileOthersReachTheStore() {
     std::vector<StoreReaderRole>& roles = MakeRoles(91);
     Hear(roles, 1'000);
     const std::size_t reader = FirstReader(roles, 1'100);
@@ -107,7 +107,7 @@
     CPPUNIT_ASSERT(roles[reader].ShouldRead(Others(reader), At(6'200)));
   }
 
-  void AStoreThatRefusesAllIsAskedAtABoundedRate() {
+  void AStoreThatRejectsAllIsCalledAtABoundedRate() {
     std::vector<StoreReaderRole>& roles = MakeRoles(91);
     Hear(roles, 1'000);
     int calls = 0;
@@ -123,21 +123,21 @@
     CPPUNIT_ASSERT(calls > 30 * 5);
   }
 
-  void AContactIsPassedOnOnce() {
+  void AContactIsGossipedOnce() {
     StoreReaderRole& role = MakeRoles(1).front();
-    CPPUNIT_ASSERT(!role.TakeNews());
+    CPPUNIT_ASSERT(!role.TakeContactUpdate());
     role.NoteContact(At(1'000));
-    CPPUNIT_ASSERT(role.TakeNews());
-    CPPUNIT_ASSERT(!role.TakeNews());
+    CPPUNIT_ASSERT(role.TakeContactUpdate());
+    CPPUNIT_ASSERT(!role.TakeContactUpdate());
     role.NotePeer(milliseconds(0), At(1'200));  // hardly newer
-    CPPUNIT_ASSERT(!role.TakeNews());
+    CPPUNIT_ASSERT(!role.TakeContactUpdate());
     role.NotePeer(milliseconds(100), At(2'900));
-    CPPUNIT_ASSERT(role.TakeNews());
+    CPPUNIT_ASSERT(role.TakeContactUpdate());
     CPPUNIT_ASSERT(milliseconds(400) == *role.Age(At(3'000)));
   }
 
   // Greetings that wait for a tenth of a second at each balancer they come through.
-  void KnowledgeThatGoesRoundAges() {
+  void AContactAgeGrowsWhileItCirculates() {
     std::vector<StoreReaderRole>& roles = MakeRoles(2);
     roles[0].NoteContact(At(0));
     for (int time = 0; time < 10'000; time += 100) {
@@ -149,7 +149,7 @@
     CPPUNIT_ASSERT(*roles[1].Age(At(10'000)) >= seconds(10));
   }
 
-  void RanksDifferFromDutyToDuty() {
+  void RanksDifferBetweenDuties() {
     MakeRoles(91);
     std::size_t same = 0;
     for (std::size_t index = 0; index < m_balancers.size(); ++index) {
--- a/proofs/placement/src/placement_proof.cpp
+++ b/proofs/placement/src/placement_proof.cpp
@@ -11,40 +11,48 @@
 #include <utility>
 
 #include "gaugevalve/testing/proof.h"
-#include "placement_world.h"
+#include "placement_simulation.h"
 
 namespace gaugevalve::proofs {
 namespace {
 
 struct NamedStep {
   const char* name;
-  void (*run)(PlacementWorld& world, std::uint32_t choice);
+  void (*run)(PlacementSimulation& simulation, std::uint32_t choice);
 };
 
 constexpr std::array<NamedStep, 14> kSteps = {{
-    {"open", [](PlacementWorld& world, std::uint32_t choice) { world.OpenFlow(choice); }},
-    {"copy", [](PlacementWorld& world, std::uint32_t choice) { world.CopyOpening(choice); }},
-    {"data", [](PlacementWorld& world, std::uint32_t choice) { world.SendData(choice); }},
-    {"deliver", [](PlacementWorld& world, std::uint32_t choice) { world.Deliver(choice); }},
-    {"lose", [](PlacementWorld& world, std::uint32_t choice) { world.Lose(choice); }},
-    {"advance", [](PlacementWorld& world, std::uint32_t) { world.Advance(); }},
-    {"restart balancer",
-     [](PlacementWorld& world, std::uint32_t choice) { world.RestartBalancer(choice); }},
-    {"restart agent",
-     [](PlacementWorld& world, std::uint32_t choice) { world.RestartAgent(choice); }},
-    {"restart all", [](PlacementWorld& world, std::uint32_t) { world.RestartAll(); }},
-    {"leave", [](PlacementWorld& world, std::uint32_t choice) { world.Leave(choice); }},
-    {"replace", [](PlacementWorld& world, std::uint32_t choice) { world.Replace(choice); }},
-    {"announce late",
-     [](PlacementWorld& world, std::uint32_t choice) { world.AnnounceLate(choice); }},
-    {"rest", [](PlacementWorld& world, std::uint32_t) { world.Rest(); }},
-    {"pause balancer",
-     [](PlacementWorld& world, std::uint32_t choice) { world.PauseBalancer(choice); }},
+    {"open",
+     [](PlacementSimulation& simulation, std::uint32_t choice) { simulation.OpenFlow(choice); }},
+    {"copy",
+     [](PlacementSimulation& simulation, std::uint32_t choice) { simulation.CopyOpening(choice); }},
+    {"data",
+     [](PlacementSimulation& simulation, std::uint32_t choice) { simulation.SendData(choice); }},
+    {"deliver",
+     [](PlacementSimulation& simulation, std::uint32_t choice) { simulation.Deliver(choice); }},
+    {"lose", [](PlacementSimulation& simulation,
+                std::uint32_t choice) { simulation.DropDatagram(choice); }},
+    {"advance", [](PlacementSimulation& simulation, std::uint32_t) { simulation.Advance(); }},
+    {"restart balancer", [](PlacementSimulation& simulation,
+                            std::uint32_t choice) { simulation.RestartBalancer(choice); }},
+    {"restart agent", [](PlacementSimulation& simulation,
+                         std::uint32_t choice) { simulation.RestartAgent(choice); }},
+    {"restart all",
+     [](PlacementSimulation& simulation, std::uint32_t) { simulation.RestartAll(); }},
+    {"leave",
+     [](PlacementSimulation& simulation, std::uint32_t choice) { simulation.Leave(choice); }},
+    {"replace",
+     [](PlacementSimulation& simulation, std::uint32_t choice) { simulation.Replace(choice); }},
+    {"announce late", [](PlacementSimulation& simulation,
+                         std::uint32_t choice) { simulation.AnnounceLate(choice); }},
+    {"rest", [](PlacementSimulation& simulation, std::uint32_t) { simulation.AdvanceOneSecond(); }},
+    {"pause balancer", [](PlacementSimulation& simulation,
+                          std::uint32_t choice) { simulation.PauseBalancer(choice); }},
 }};
 
 struct Model {};
 
-using PlacementCommand = rc::state::Command<Model, PlacementWorld>;
+using PlacementCommand = rc::state::Command<Model, PlacementSimulation>;
 
 // One step of the clients or the adversary.
 class Perform final : public PlacementCommand {
@@ -66,10 +74,10 @@
                                                       {1, 13}})),
         choice_(*rc::gen::inRange<std::uint32_t>(0, 1'000'000)) {}
 
-  void run(const Model& /*model*/, PlacementWorld& world) const override {
-    kSteps.at(step_).run(world, choice_);
-    if (world.Violation()) {
-      RC_FAIL(*world.Violation());
+  void run(const Model& /*model*/, PlacementSimulation& simulation) const override {
+    kSteps.at(step_).run(simulation, choice_);
+    if (simulation.Violation()) {
+      RC_FAIL(*simulation.Violation());
     }
   }
 
@@ -89,16 +97,16 @@
   std::size_t passes = 0;
 };
 
-void Explore(const PlacementWorldSettings& settings, Totals& totals) {
-  PlacementWorld world(settings);
-  rc::state::check(Model(), world, rc::state::gen::execOneOfWithArgs<Perform>());
-  world.Heal();
-  totals.flows_opened += world.FlowsOpened();
-  totals.searches_ended += world.SearchesEnded();
-  totals.resets += world.Resets();
-  totals.passes += world.Passes();
-  if (world.Violation()) {
-    RC_FAIL(*world.Violation());
+void Explore(const PlacementSimulationSettings& settings, Totals& totals) {
+  PlacementSimulation simulation(settings);
+  rc::state::check(Model(), simulation, rc::state::gen::execOneOfWithArgs<Perform>());
+  simulation.EndFaultsAndSettle();
+  totals.flows_opened += simulation.FlowsOpened();
+  totals.searches_ended += simulation.SearchesEnded();
+  totals.resets += simulation.Resets();
+  totals.passes += simulation.Passes();
+  if (simulation.Violation()) {
+    RC_FAIL(*simulation.Violation());
   }
 }
 
@@ -113,7 +121,7 @@
   return {is_enough, counts.str()};
 }
 
-testing::RegisteredProof Holds(std::string name, const PlacementWorldSettings& settings) {
+testing::RegisteredProof Holds(std::string name, const PlacementSimulationSettings& settings) {
   const auto totals = std::make_shared<Totals>();
   return {std::move(name),
           testing::ProofKind::kHolds,
@@ -121,7 +129,7 @@
           {.counter_example = "", .coverage = [totals] { return CoverageOf(*totals); }}};
 }
 
-testing::RegisteredProof IsCaught(std::string name, const PlacementWorldSettings& settings,
+testing::RegisteredProof IsCaught(std::string name, const PlacementSimulationSettings& settings,
                                   std::string counter_example) {
   return {std::move(name),
           testing::ProofKind::kMutantIsCaught,
@@ -133,7 +141,7 @@
 }
 
 const testing::RegisteredProof flows_stay =
-    Holds("flows_stay_and_left_endpoints_get_none", PlacementWorldSettings{});
+    Holds("flows_stay_and_left_endpoints_get_none", PlacementSimulationSettings{});
 const testing::RegisteredProof without_learning =
     IsCaught("without_learning_time", {.learning_time = base::Duration(0)}, "was reset");
 const testing::RegisteredProof with_long_memory = IsCaught(
--- a/proofs/placement/src/placement_world.cpp
+++ b/proofs/placement/src/placement_simulation.cpp
@@ -1,4 +1,4 @@
-#include "placement_world.h"
+#include "placement_simulation.h"
 
 #include <cstdlib>
 
@@ -18,7 +18,7 @@
 constexpr base::Duration kStep = milliseconds(100);
 constexpr base::Duration kDrainLimit = std::chrono::seconds(3);
 constexpr std::int32_t kResetWindow = 76'800;
-constexpr std::size_t kMostWaiting = 400;
+constexpr std::size_t kMaxDatagrams = 400;
 
 constexpr base::ServiceId kServices[2] = {base::ServiceId(11), base::ServiceId(22)};
 
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-PlacementWorld::PlacementWorld(const PlacementWorldSettings& settings)
+PlacementSimulation::PlacementSimulation(const PlacementSimulationSettings& settings)
     : settings_(settings), balancers_(kBalancers), agents_(kAgents) {
   for (std::size_t index = 0; index < kAgents; ++index) {
     agents_[index].endpoint.service = kServices[index % 2];
@@ -66,7 +66,7 @@
   Report();
 }
 
-void PlacementWorld::MakeBalancer(std::size_t index) {
+void PlacementSimulation::MakeBalancer(std::size_t index) {
   placement::BalancerSettings settings;
   settings.learning_time = settings_.learning_time;
   settings.report_lifetime = std::chrono::seconds(1);
@@ -74,7 +74,7 @@
   balancers_[index]->SetRoutes(MakeRoutes());
 }
 
-void PlacementWorld::MakeAgent(std::size_t index) {
+void PlacementSimulation::MakeAgent(std::size_t index) {
   placement::AgentCoreSettings settings;
   settings.life = base::Incarnation(next_life_++);
   settings.service = agents_[index].endpoint.service;
@@ -84,11 +84,11 @@
 }
 
 // Every second start keeps the identifier of the life before it.
-placement::EndpointIncarnation PlacementWorld::IncarnationOf(const Endpoint& endpoint) {
+placement::EndpointIncarnation PlacementSimulation::IncarnationOf(const Endpoint& endpoint) {
   return {std::to_string(endpoint.incarnation / 2), endpoint.incarnation};
 }
 
-void PlacementWorld::Announce(Agent& agent) {
+void PlacementSimulation::Announce(Agent& agent) {
   placement::Announcement announcement;
   announcement.incarnation = IncarnationOf(agent.endpoint);
   announcement.is_draining = agent.endpoint.left_at.has_value();
@@ -98,7 +98,7 @@
 }
 
 // Agents report to all balancers, which tell a restarted agent what they remember.
-void PlacementWorld::Report() {
+void PlacementSimulation::Report() {
   for (std::size_t index = 0; index < kAgents; ++index) {
     Agent& agent = agents_[index];
     agent.core->Tick(now_);
@@ -110,8 +110,8 @@
       const placement::AgentReport report = agent.core->MakeReport(now_);
       const auto outcome = balancer->OnReport(AgentAddress(index), report, now_);
       const placement::KnownAgent* known = balancer->Agents().Find(AgentAddress(index));
-      const bool may_help = outcome == placement::ReportOutcome::kNew && report.wants_memory;
-      if (may_help && known->memory) {
+      const bool can_restore = outcome == placement::ReportOutcome::kNew && report.wants_memory;
+      if (can_restore && known->memory) {
         placement::Announcement announcement;
         announcement.incarnation = known->memory->endpoint;
         announcement.capacity = known->memory->load.capacity;
@@ -127,7 +127,8 @@
   }
 }
 
-std::optional<std::size_t> PlacementWorld::PickFlow(std::uint32_t choice, bool must_be_open) const {
+std::optional<std::size_t> PlacementSimulation::PickFlow(std::uint32_t choice,
+                                                         bool must_be_open) const {
   std::vector<std::size_t> fit;
   for (std::size_t index = 0; index < flows_.size(); ++index) {
     const bool has_answer = flows_[index].endpoint_sequence != 0;
@@ -138,7 +139,7 @@
   return fit.empty() ? std::nullopt : std::optional(fit[choice % fit.size()]);
 }
 
-FlowPacket PlacementWorld::MakePacket(const Flow& flow, bool is_opening) const {
+FlowPacket PlacementSimulation::MakePacket(const Flow& flow, bool is_opening) const {
   FlowPacket packet;
   packet.flow = flow.key;
   packet.is_opening = is_opening;
@@ -150,7 +151,7 @@
   return packet;
 }
 
-void PlacementWorld::OpenFlow(std::uint32_t choice) {
+void PlacementSimulation::OpenFlow(std::uint32_t choice) {
   Flow flow;
   flow.key.client =
       base::SocketAddress::Ipv4(0x64400001, static_cast<std::uint16_t>(1000 + flows_.size()));
@@ -159,35 +160,35 @@
   SendThrough((choice / 2) % kBalancers, MakePacket(flow, true));
 }
 
-void PlacementWorld::CopyOpening(std::uint32_t choice) {
+void PlacementSimulation::CopyOpening(std::uint32_t choice) {
   if (const auto flow = PickFlow(choice, false)) {
     SendThrough(choice % kBalancers, MakePacket(flows_[*flow], true));
   }
 }
 
-void PlacementWorld::SendData(std::uint32_t choice) {
+void PlacementSimulation::SendData(std::uint32_t choice) {
   if (const auto flow = PickFlow(choice / 2, true)) {
     SendThrough(choice % kBalancers, MakePacket(flows_[*flow], false));
   }
 }
 
-void PlacementWorld::SendThrough(std::size_t balancer, const FlowPacket& packet) {
-  Act(balancer, packet, balancers_[balancer]->OnClientPacket(packet, now_));
+void PlacementSimulation::SendThrough(std::size_t balancer, const FlowPacket& packet) {
+  ApplyDecision(balancer, packet, balancers_[balancer]->OnClientPacket(packet, now_));
 }
 
-void PlacementWorld::Act(std::size_t balancer, const FlowPacket& packet,
-                         const BalancerDecision& decision) {
+void PlacementSimulation::ApplyDecision(std::size_t balancer, const FlowPacket& packet,
+                                        const BalancerDecision& decision) {
   if (decision.verdict == BalancerVerdict::kReset) {
     TakeReset(packet, decision.reset_sequence);
   }
-  if (decision.verdict == BalancerVerdict::kForward && network_.size() < kMostWaiting) {
+  if (decision.verdict == BalancerVerdict::kForward && network_.size() < kMaxDatagrams) {
     const placement::SearchRoute route{BalancerAddress(balancer), decision.route};
     network_.push_back(
         {Hop::kToAgent, IndexOf(decision.agent), balancer, packet, decision.header, route, 0, 0});
   }
 }
 
-void PlacementWorld::Deliver(std::uint32_t choice) {
+void PlacementSimulation::Deliver(std::uint32_t choice) {
   if (network_.empty()) {
     return;
   }
@@ -197,24 +198,24 @@
   Handle(datagram);
 }
 
-void PlacementWorld::Lose(std::uint32_t choice) {
+void PlacementSimulation::DropDatagram(std::uint32_t choice) {
   if (!network_.empty()) {
     network_.erase(network_.begin() + static_cast<std::ptrdiff_t>(choice % network_.size()));
   }
 }
 
-void PlacementWorld::Handle(const Datagram& datagram) {
+void PlacementSimulation::Handle(const Datagram& datagram) {
   switch (datagram.hop) {
     case Hop::kToAgent:
-      AtAgent(datagram);
+      HandleAtAgent(datagram);
       break;
     case Hop::kToEndpoint:
-      AtEndpoint(datagram);
+      HandleAtEndpoint(datagram);
       break;
     case Hop::kToBalancer:
-      Act(datagram.node, datagram.packet,
-          balancers_[datagram.node]->OnReturnedPacket(datagram.packet, datagram.header,
-                                                      AgentAddress(datagram.sender), now_));
+      ApplyDecision(datagram.node, datagram.packet,
+                    balancers_[datagram.node]->OnReturnedPacket(
+                        datagram.packet, datagram.header, AgentAddress(datagram.sender), now_));
       break;
     case Hop::kHolderNotice:
       balancers_[datagram.node]->OnHolderNotice(datagram.packet.flow, AgentAddress(datagram.sender),
@@ -224,7 +225,7 @@
   }
 }
 
-void PlacementWorld::AtAgent(const Datagram& datagram) {
+void PlacementSimulation::HandleAtAgent(const Datagram& datagram) {
   Agent& agent = agents_[datagram.node];
   placement::ForwardHeader header = datagram.header;
   if (!settings_.checks_service) {
@@ -245,26 +246,26 @@
     PassOn(datagram.packet, decision);
   } else if (decision.verdict == AgentVerdict::kDeliver) {
     // The way from an agent to the endpoint beside it keeps the order; it may still be late.
-    AtEndpoint({Hop::kToEndpoint,
-                datagram.node,
-                0,
-                datagram.packet,
-                {},
-                {},
-                decision.mark,
-                agent.endpoint.incarnation});
+    HandleAtEndpoint({Hop::kToEndpoint,
+                      datagram.node,
+                      0,
+                      datagram.packet,
+                      {},
+                      {},
+                      decision.mark,
+                      agent.endpoint.incarnation});
   }
 }
 
-void PlacementWorld::PassOn(const FlowPacket& packet, const AgentDecision& decision) {
-  if (network_.size() < kMostWaiting) {
+void PlacementSimulation::PassOn(const FlowPacket& packet, const AgentDecision& decision) {
+  if (network_.size() < kMaxDatagrams) {
     network_.push_back({Hop::kToAgent, IndexOf(decision.next), IndexOf(decision.route.origin),
                         packet, decision.header, decision.route, 0, 0});
   }
   ++passes_;
 }
 
-void PlacementWorld::AtEndpoint(const Datagram& datagram) {
+void PlacementSimulation::HandleAtEndpoint(const Datagram& datagram) {
   Agent& agent = agents_[datagram.node];
   Endpoint& endpoint = agent.endpoint;
   const std::uint16_t port = datagram.packet.flow.client.port;
@@ -279,7 +280,7 @@
     answer.is_opening = false;
     answer.is_acknowledging = true;
     answer.sequence = half->second;
-    FromEndpoint(datagram.node, answer, 0);
+    HandleFromEndpoint(datagram.node, answer, 0);
     return;
   }
   const auto half = endpoint.half_open.find(port);
@@ -298,17 +299,18 @@
   FlowOf(datagram.packet).next_byte += datagram.packet.data_size;
   FlowPacket answer = datagram.packet;
   answer.sequence = datagram.packet.acknowledged;
-  FromEndpoint(datagram.node, answer, 0);
+  HandleFromEndpoint(datagram.node, answer, 0);
 }
 
-void PlacementWorld::Bounce(std::size_t agent, FlowPacket packet, std::uint32_t mark) {
+void PlacementSimulation::Bounce(std::size_t agent, FlowPacket packet, std::uint32_t mark) {
   packet.is_bounced = true;
   if (settings_.returns_bounced) {
-    FromEndpoint(agent, packet, mark);
+    HandleFromEndpoint(agent, packet, mark);
   }
 }
 
-void PlacementWorld::FromEndpoint(std::size_t agent, const FlowPacket& packet, std::uint32_t mark) {
+void PlacementSimulation::HandleFromEndpoint(std::size_t agent, const FlowPacket& packet,
+                                             std::uint32_t mark) {
   const AgentDecision decision = agents_[agent].core->OnEndpointPacket(packet, mark, now_);
   FlowPacket clean = packet;
   clean.is_bounced = false;
@@ -334,7 +336,7 @@
   }
 }
 
-void PlacementWorld::Advance() {
+void PlacementSimulation::Advance() {
   now_ += kStep;
   for (Agent& agent : agents_) {
     const bool is_due = now_.time_since_epoch() % kAnnouncementPeriod == base::Duration(0);
@@ -345,27 +347,29 @@
   Report();
 }
 
-void PlacementWorld::Rest() {
-  constexpr int kStepsOfASecond = 10;
-  for (int count = 0; count < kStepsOfASecond; ++count) {
+void PlacementSimulation::AdvanceOneSecond() {
+  constexpr int kStepsPerSecond = 10;
+  for (int count = 0; count < kStepsPerSecond; ++count) {
     Advance();
   }
 }
 
-void PlacementWorld::PauseBalancer(std::uint32_t choice) {
+void PlacementSimulation::PauseBalancer(std::uint32_t choice) {
   constexpr int kSeconds = 5;
   paused_ = choice % kBalancers;
   for (int count = 0; count < kSeconds; ++count) {
-    Rest();
+    AdvanceOneSecond();
   }
   paused_.reset();
 }
 
-void PlacementWorld::RestartBalancer(std::uint32_t choice) { MakeBalancer(choice % kBalancers); }
+void PlacementSimulation::RestartBalancer(std::uint32_t choice) {
+  MakeBalancer(choice % kBalancers);
+}
 
-void PlacementWorld::RestartAgent(std::uint32_t choice) { MakeAgent(choice % kAgents); }
+void PlacementSimulation::RestartAgent(std::uint32_t choice) { MakeAgent(choice % kAgents); }
 
-void PlacementWorld::RestartAll() {
+void PlacementSimulation::RestartAll() {
   for (std::size_t index = 0; index < kBalancers; ++index) {
     MakeBalancer(index);
   }
@@ -374,7 +378,7 @@
   }
 }
 
-void PlacementWorld::Leave(std::uint32_t choice) {
+void PlacementSimulation::Leave(std::uint32_t choice) {
   Agent& agent = agents_[choice % kAgents];
   if (agent.endpoint.left_at) {
     return;
@@ -389,7 +393,7 @@
 }
 
 // Another endpoint at the same address, perhaps of the other service; its flows are gone.
-void PlacementWorld::Replace(std::uint32_t choice) {
+void PlacementSimulation::Replace(std::uint32_t choice) {
   Agent& agent = agents_[choice % kAgents];
   if (!agent.endpoint.left_at) {
     return;
@@ -407,7 +411,7 @@
 }
 
 // An announcement that was sent before the newest one comes only now.
-void PlacementWorld::AnnounceLate(std::uint32_t choice) {
+void PlacementSimulation::AnnounceLate(std::uint32_t choice) {
   Agent& agent = agents_[choice % kAgents];
   if (agent.endpoint.announcement < 2) {
     return;
@@ -422,7 +426,7 @@
   agent.core->Gate().Announce(announcement, now_);
 }
 
-PlacementWorld::Agent* PlacementWorld::OwnerOf(const Flow& flow) {
+PlacementSimulation::Agent* PlacementSimulation::OwnerOf(const Flow& flow) {
   for (Agent& agent : agents_) {
     if (agent.endpoint.open.contains(flow.key.client.port)) {
       return &agent;
@@ -431,36 +435,36 @@
   return nullptr;
 }
 
-PlacementWorld::Flow& PlacementWorld::FlowOf(const FlowPacket& packet) {
+PlacementSimulation::Flow& PlacementSimulation::FlowOf(const FlowPacket& packet) {
   return flows_.at(packet.flow.client.port - 1000U);
 }
 
 // A client with an open flow takes a reset only near what it has acknowledged.
-void PlacementWorld::TakeReset(const FlowPacket& packet, std::uint32_t sequence) {
+void PlacementSimulation::TakeReset(const FlowPacket& packet, std::uint32_t sequence) {
   Flow& flow = FlowOf(packet);
   const auto distance = static_cast<std::int32_t>(sequence - flow.endpoint_sequence);
   if (flow.endpoint_sequence != 0 && std::abs(distance) > kResetWindow) {
     return;
   }
   if (OwnerOf(flow) != nullptr) {
-    Break("an open flow was reset");
+    ReportViolation("an open flow was reset");
   }
   flow.is_reset = true;
   ++resets_;
 }
 
-void PlacementWorld::CheckOpening(const Agent& agent, const FlowPacket& packet) {
+void PlacementSimulation::CheckOpening(const Agent& agent, const FlowPacket& packet) {
   const std::size_t service = packet.flow.destination == VirtualAddress(0) ? 0 : 1;
   if (agent.endpoint.service != kServices[service]) {
-    Break("an opening packet reached another service");
+    ReportViolation("an opening packet reached another service");
   }
   const auto& left_at = agent.endpoint.left_at;
   if (left_at && now_ - *left_at > kDrainLimit) {
-    Break("an endpoint that had left got an opening packet");
+    ReportViolation("an endpoint that had left got an opening packet");
   }
 }
 
-void PlacementWorld::Heal() {
+void PlacementSimulation::EndFaultsAndSettle() {
   network_.clear();
   for (int count = 0; count < 12; ++count) {
     Advance();
@@ -477,13 +481,13 @@
         Deliver(0);
       }
       if (owner->endpoint.arrived == before) {
-        Break("an open flow's packet never reached its endpoint");
+        ReportViolation("an open flow's packet never reached its endpoint");
       }
     }
   }
 }
 
-void PlacementWorld::Break(const std::string& text) {
+void PlacementSimulation::ReportViolation(const std::string& text) {
   if (!violation_) {
     violation_ = text;
   }
--- a/proofs/placement/src/placement_world.h
+++ b/proofs/placement/src/placement_simulation.h
@@ -17,7 +17,7 @@
 namespace gaugevalve::proofs {
 
 // The protections of the cores, each of which a mutant takes away.
-struct PlacementWorldSettings {
+struct PlacementSimulationSettings {
   base::Duration learning_time = std::chrono::milliseconds(700);
   base::Duration memory_limit = std::chrono::seconds(3);  // of a left endpoint, at its agent
   bool checks_service = true;
@@ -26,20 +26,20 @@
 };
 
 // Steps run whole; datagrams wait in a network that the adversary empties in any order.
-class PlacementWorld {
+class PlacementSimulation {
  public:
   static constexpr std::size_t kBalancers = 2;
   static constexpr std::size_t kAgents = 6;
 
-  explicit PlacementWorld(const PlacementWorldSettings& settings);
+  explicit PlacementSimulation(const PlacementSimulationSettings& settings);
 
   void OpenFlow(std::uint32_t choice);
   void CopyOpening(std::uint32_t choice);
   void SendData(std::uint32_t choice);
   void Deliver(std::uint32_t choice);
-  void Lose(std::uint32_t choice);
+  void DropDatagram(std::uint32_t choice);
   void Advance();
-  void Rest();  // a second
+  void AdvanceOneSecond();  // a second
   void RestartBalancer(std::uint32_t choice);
   void RestartAgent(std::uint32_t choice);
   void RestartAll();
@@ -49,7 +49,7 @@
   void AnnounceLate(std::uint32_t choice);
 
   // Ends the faults and lets everybody learn; then each open flow's data must arrive.
-  void Heal();
+  void EndFaultsAndSettle();
 
   const std::optional<std::string>& Violation() const { return violation_; }
   std::size_t FlowsOpened() const { return flows_opened_; }
@@ -98,13 +98,14 @@
   std::optional<std::size_t> PickFlow(std::uint32_t choice, bool must_be_open) const;
   placement::FlowPacket MakePacket(const Flow& flow, bool is_opening) const;
   void SendThrough(std::size_t balancer, const placement::FlowPacket& packet);
-  void Act(std::size_t balancer, const placement::FlowPacket& packet,
-           const placement::BalancerDecision& decision);
+  void ApplyDecision(std::size_t balancer, const placement::FlowPacket& packet,
+                     const placement::BalancerDecision& decision);
   void Handle(const Datagram& datagram);
-  void AtAgent(const Datagram& datagram);
+  void HandleAtAgent(const Datagram& datagram);
   void PassOn(const placement::FlowPacket& packet, const placement::AgentDecision& decision);
-  void AtEndpoint(const Datagram& datagram);
-  void FromEndpoint(std::size_t agent, const placement::FlowPacket& packet, std::uint32_t mark);
+  void HandleAtEndpoint(const Datagram& datagram);
+  void HandleFromEndpoint(std::size_t agent, const placement::FlowPacket& packet,
+                          std::uint32_t mark);
   void Bounce(std::size_t agent, placement::FlowPacket packet, std::uint32_t mark);
   void MakeBalancer(std::size_t index);
   void MakeAgent(std::size_t index);
@@ -115,9 +116,9 @@
   void CheckOpening(const Agent& agent, const placement::FlowPacket& packet);
   Agent* OwnerOf(const Flow& flow);
   Flow& FlowOf(const placement::FlowPacket& packet);
-  void Break(const std::string& text);
+  void ReportViolation(const std::string& text);
 
-  PlacementWorldSettings settings_;
+  PlacementSimulationSettings settings_;
   base::RandomSource random_{1};
   base::TimePoint now_{};
   std::vector<std::unique_ptr<placement::BalancerCore>> balancers_;
--- a/proofs/placement/src/reader_proof.cpp
+++ b/proofs/placement/src/reader_proof.cpp
@@ -11,31 +11,36 @@
 #include <utility>
 
 #include "gaugevalve/testing/proof.h"
-#include "reader_world.h"
+#include "reader_simulation.h"
 
 namespace gaugevalve::proofs {
 namespace {
 
 struct NamedStep {
   const char* name;
-  void (*run)(ReaderWorld& world, std::uint32_t choice);
+  void (*run)(ReaderSimulation& simulation, std::uint32_t choice);
 };
 
 constexpr std::array<NamedStep, 9> kSteps = {{
-    {"advance", [](ReaderWorld& world, std::uint32_t) { world.Advance(); }},
-    {"rest", [](ReaderWorld& world, std::uint32_t) { world.Rest(); }},
-    {"change", [](ReaderWorld& world, std::uint32_t) { world.Change(); }},
-    {"restart", [](ReaderWorld& world, std::uint32_t choice) { world.Restart(choice); }},
-    {"pause", [](ReaderWorld& world, std::uint32_t choice) { world.Pause(choice); }},
-    {"pause readers", [](ReaderWorld& world, std::uint32_t) { world.PauseReaders(); }},
-    {"turn away", [](ReaderWorld& world, std::uint32_t choice) { world.TurnAway(choice); }},
-    {"turn readers away", [](ReaderWorld& world, std::uint32_t) { world.TurnReadersAway(); }},
-    {"cut", [](ReaderWorld& world, std::uint32_t choice) { world.Cut(choice); }},
+    {"advance", [](ReaderSimulation& simulation, std::uint32_t) { simulation.Advance(); }},
+    {"rest", [](ReaderSimulation& simulation, std::uint32_t) { simulation.AdvanceOneSecond(); }},
+    {"change", [](ReaderSimulation& simulation, std::uint32_t) { simulation.Change(); }},
+    {"restart",
+     [](ReaderSimulation& simulation, std::uint32_t choice) { simulation.Restart(choice); }},
+    {"pause", [](ReaderSimulation& simulation, std::uint32_t choice) { simulation.Pause(choice); }},
+    {"pause readers",
+     [](ReaderSimulation& simulation, std::uint32_t) { simulation.PauseReaders(); }},
+    {"turn away", [](ReaderSimulation& simulation,
+                     std::uint32_t choice) { simulation.ToggleStoreRejection(choice); }},
+    {"turn readers away",
+     [](ReaderSimulation& simulation, std::uint32_t) { simulation.RejectReadersAtStore(); }},
+    {"cut",
+     [](ReaderSimulation& simulation, std::uint32_t choice) { simulation.ToggleLink(choice); }},
 }};
 
 struct Model {};
 
-using ReaderCommand = rc::state::Command<Model, ReaderWorld>;
+using ReaderCommand = rc::state::Command<Model, ReaderSimulation>;
 
 class Perform final : public ReaderCommand {
  public:
@@ -44,10 +49,10 @@
             {{20, 0}, {12, 1}, {4, 2}, {1, 3}, {2, 4}, {1, 5}, {3, 6}, {1, 7}, {4, 8}})),
         choice_(*rc::gen::inRange<std::uint32_t>(0, 1'000'000)) {}
 
-  void run(const Model& /*model*/, ReaderWorld& world) const override {
-    kSteps.at(step_).run(world, choice_);
-    if (world.Violation()) {
-      RC_FAIL(*world.Violation());
+  void run(const Model& /*model*/, ReaderSimulation& simulation) const override {
+    kSteps.at(step_).run(simulation, choice_);
+    if (simulation.Violation()) {
+      RC_FAIL(*simulation.Violation());
     }
   }
 
@@ -65,14 +70,14 @@
   std::size_t calls = 0;
 };
 
-void Explore(const ReaderWorldSettings& settings, Totals& totals) {
-  ReaderWorld world(settings);
-  rc::state::check(Model(), world, rc::state::gen::execOneOfWithArgs<Perform>());
-  world.Heal();
-  totals.changes_seen += world.ChangesSeen();
-  totals.calls += world.Calls();
-  if (world.Violation()) {
-    RC_FAIL(*world.Violation());
+void Explore(const ReaderSimulationSettings& settings, Totals& totals) {
+  ReaderSimulation simulation(settings);
+  rc::state::check(Model(), simulation, rc::state::gen::execOneOfWithArgs<Perform>());
+  simulation.EndFaultsAndSettle();
+  totals.changes_seen += simulation.ChangesSeen();
+  totals.calls += simulation.Calls();
+  if (simulation.Violation()) {
+    RC_FAIL(*simulation.Violation());
   }
 }
 
@@ -88,11 +93,11 @@
   };
   return {std::move(name),
           testing::ProofKind::kHolds,
-          [totals] { Explore(ReaderWorldSettings(), *totals); },
+          [totals] { Explore(ReaderSimulationSettings(), *totals); },
           {.counter_example = "", .coverage = coverage}};
 }
 
-testing::RegisteredProof IsCaught(std::string name, const ReaderWorldSettings& settings) {
+testing::RegisteredProof IsCaught(std::string name, const ReaderSimulationSettings& settings) {
   return {std::move(name),
           testing::ProofKind::kMutantIsCaught,
           [settings] {
@@ -106,7 +111,7 @@
 const testing::RegisteredProof without_take_over =
     IsCaught("without_taking_over", {.change_limit = std::chrono::seconds(60)});
 const testing::RegisteredProof without_refusals =
-    IsCaught("without_telling_refusals_apart", {.tells_refusals_apart = false});
+    IsCaught("without_telling_refusals_apart", {.detects_failed_calls = false});
 
 }  // namespace
 }  // namespace gaugevalve::proofs
--- a/proofs/placement/src/reader_world.cpp
+++ b/proofs/placement/src/reader_simulation.cpp
@@ -1,4 +1,4 @@
-#include "reader_world.h"
+#include "reader_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
 constexpr base::Duration kPause = std::chrono::seconds(2);
 constexpr base::Duration kReadTime = std::chrono::milliseconds(100);
 constexpr base::Duration kCallTimeout = std::chrono::milliseconds(700);
-constexpr int kStepsInASecond = 10;
+constexpr int kStepsPerSecond = 10;
 
 base::SocketAddress AddressOf(std::size_t index) {
   return base::SocketAddress::Ipv4(0x0a000001 + static_cast<std::uint32_t>(index), 7000);
@@ -22,25 +22,25 @@
 
 }  // namespace
 
-ReaderWorld::ReaderWorld(const ReaderWorldSettings& settings) : settings_(settings) {
+ReaderSimulation::ReaderSimulation(const ReaderSimulationSettings& settings) : settings_(settings) {
   balancers_.resize(kBalancers);
   changes_.push_back(now_);
   for (std::size_t index = 0; index < kBalancers; ++index) {
     Start(index);
   }
   for (int second = 0; second < 3; ++second) {
-    Rest();
+    AdvanceOneSecond();
   }
 }
 
-void ReaderWorld::Start(std::size_t index) {
+void ReaderSimulation::Start(std::size_t index) {
   Balancer& balancer = balancers_[index];
-  const bool is_turned_away = balancer.is_turned_away;
+  const bool is_rejected = balancer.is_rejected;
   const bool is_silent = balancer.is_silent;
   balancer = {};
-  balancer.is_turned_away = is_turned_away;
+  balancer.is_rejected = is_rejected;
   balancer.is_silent = is_silent;
-  balancer.undisturbed_since = now_;
+  balancer.healthy_since = now_;
   balancer.next_round = now_;
   balancer.core =
       std::make_unique<placement::BalancerCore>(placement::BalancerSettings(), random_, now_);
@@ -50,13 +50,13 @@
   balancer.gossip->SetSeeds({AddressOf(0), AddressOf(1), AddressOf(2)});
 }
 
-void ReaderWorld::Advance() {
+void ReaderSimulation::Advance() {
   now_ += kStep;
   for (std::size_t index = 0; index < kBalancers; ++index) {
     Balancer& balancer = balancers_[index];
     if (balancer.paused_until && now_ >= *balancer.paused_until) {
       balancer.paused_until.reset();
-      balancer.undisturbed_since = now_;
+      balancer.healthy_since = now_;
     }
     if (!balancer.paused_until) {
       Run(index);
@@ -65,13 +65,13 @@
   Check();
 }
 
-void ReaderWorld::Rest() {
-  for (int step = 0; step < kStepsInASecond; ++step) {
+void ReaderSimulation::AdvanceOneSecond() {
+  for (int step = 0; step < kStepsPerSecond; ++step) {
     Advance();
   }
 }
 
-void ReaderWorld::Run(std::size_t index) {
+void ReaderSimulation::Run(std::size_t index) {
   Balancer& balancer = balancers_[index];
   std::deque<Message> inbox = std::exchange(balancer.inbox, {});
   for (const Message& message : inbox) {
@@ -90,28 +90,29 @@
   }
 }
 
-void ReaderWorld::Take(std::size_t index, const Message& message) {
+void ReaderSimulation::Take(std::size_t index, const Message& message) {
   Balancer& balancer = balancers_[index];
   const std::uint64_t version = message.greeting.routes_version;
   const bool is_newer = version > balancer.core->Routes().version;
   bool is_new = false;
   Send(index, balancer.gossip->OnGreeting(message.greeting, message.sender, now_, is_new));
   const std::size_t peer = IndexOf(message.sender);
-  const bool may_fetch = !cuts_[index * kBalancers + peer] && !cuts_[peer * kBalancers + index] &&
+  const bool may_fetch = !broken_links_[index * kBalancers + peer] &&
+                         !broken_links_[peer * kBalancers + index] &&
                          !balancers_[peer].paused_until;
   if (is_newer && may_fetch) {
     SetVersion(index, version);
   }
 }
 
-void ReaderWorld::CallStore(std::size_t index) {
+void ReaderSimulation::CallStore(std::size_t index) {
   Balancer& balancer = balancers_[index];
   ++calls_;
   placement::StoreReaderRole& reader = balancer.gossip->Reader();
   const std::uint64_t version = balancer.core->Routes().version;
   const bool is_watch = version > 0 && !reader.IsStale(now_);
   balancer.watched = is_watch ? version : 0;
-  balancer.call_fails = balancer.is_turned_away;
+  balancer.call_fails = balancer.is_rejected;
   if (balancer.call_fails) {
     balancer.call_ends = now_ + (balancer.is_silent ? kCallTimeout : kReadTime);
   } else {
@@ -119,17 +120,17 @@
   }
 }
 
-void ReaderWorld::EndCall(std::size_t index) {
+void ReaderSimulation::EndCall(std::size_t index) {
   Balancer& balancer = balancers_[index];
   // A store that turns the machine away cuts its watch, or lets it hang.
-  balancer.call_fails = balancer.call_fails || balancer.is_turned_away;
+  balancer.call_fails = balancer.call_fails || balancer.is_rejected;
   const std::uint64_t newest = changes_.size();
   const bool has_news = !balancer.call_fails && balancer.watched > 0 && newest > balancer.watched;
   if (now_ < *balancer.call_ends && !has_news) {
     return;
   }
   balancer.call_ends.reset();
-  if (balancer.call_fails && !settings_.tells_refusals_apart) {
+  if (balancer.call_fails && !settings_.detects_failed_calls) {
     balancer.gossip->Reader().NoteContact(now_);
     return;
   }
@@ -141,7 +142,7 @@
   balancer.gossip->Reader().NoteContact(now_);
 }
 
-void ReaderWorld::SetVersion(std::size_t index, std::uint64_t version) {
+void ReaderSimulation::SetVersion(std::size_t index, std::uint64_t version) {
   Balancer& balancer = balancers_[index];
   const bool is_first = balancer.core->Routes().version == 0;
   placement::RouteTable routes;
@@ -152,28 +153,28 @@
   }
 }
 
-void ReaderWorld::Send(std::size_t index,
-                       const std::vector<placement::OutgoingGreeting>& greetings) {
+void ReaderSimulation::Send(std::size_t index,
+                            const std::vector<placement::OutgoingGreeting>& greetings) {
   for (const placement::OutgoingGreeting& greeting : greetings) {
     const std::size_t receiver = IndexOf(greeting.receiver);
-    if (receiver < kBalancers && !cuts_[index * kBalancers + receiver]) {
+    if (receiver < kBalancers && !broken_links_[index * kBalancers + receiver]) {
       balancers_[receiver].inbox.push_back({AddressOf(index), greeting.greeting});
     }
   }
 }
 
-void ReaderWorld::Change() { changes_.push_back(now_); }
+void ReaderSimulation::Change() { changes_.push_back(now_); }
 
-void ReaderWorld::Restart(std::uint32_t choice) { Start(choice % kBalancers); }
+void ReaderSimulation::Restart(std::uint32_t choice) { Start(choice % kBalancers); }
 
-void ReaderWorld::PauseOne(std::size_t index) {
+void ReaderSimulation::PauseOne(std::size_t index) {
   balancers_[index].paused_until = now_ + kPause;
-  balancers_[index].undisturbed_since = now_ + kPause;
+  balancers_[index].healthy_since = now_ + kPause;
 }
 
-void ReaderWorld::Pause(std::uint32_t choice) { PauseOne(choice % kBalancers); }
+void ReaderSimulation::Pause(std::uint32_t choice) { PauseOne(choice % kBalancers); }
 
-std::vector<std::size_t> ReaderWorld::Readers() {
+std::vector<std::size_t> ReaderSimulation::Readers() {
   std::vector<placement::BalancerAge> all;
   for (std::size_t index = 0; index < kBalancers; ++index) {
     all.push_back({AddressOf(index), base::Duration(0)});
@@ -188,55 +189,55 @@
   return readers;
 }
 
-void ReaderWorld::PauseReaders() {
+void ReaderSimulation::PauseReaders() {
   for (const std::size_t reader : Readers()) {
     PauseOne(reader);
   }
 }
 
-void ReaderWorld::SetTurnedAway(std::size_t index, bool is_turned_away, bool is_silent) {
-  balancers_[index].is_turned_away = is_turned_away;
+void ReaderSimulation::SetStoreRejection(std::size_t index, bool is_rejected, bool is_silent) {
+  balancers_[index].is_rejected = is_rejected;
   balancers_[index].is_silent = is_silent;
-  balancers_[index].undisturbed_since = now_;
+  balancers_[index].healthy_since = now_;
 }
 
-void ReaderWorld::TurnAway(std::uint32_t choice) {
+void ReaderSimulation::ToggleStoreRejection(std::uint32_t choice) {
   const std::size_t index = choice % kBalancers;
-  SetTurnedAway(index, !balancers_[index].is_turned_away, choice / kBalancers % 2 == 0);
+  SetStoreRejection(index, !balancers_[index].is_rejected, choice / kBalancers % 2 == 0);
 }
 
-void ReaderWorld::TurnReadersAway() {
+void ReaderSimulation::RejectReadersAtStore() {
   for (const std::size_t reader : Readers()) {
-    SetTurnedAway(reader, true, true);
+    SetStoreRejection(reader, true, true);
   }
 }
 
-void ReaderWorld::Cut(std::uint32_t choice) {
-  const std::size_t link = choice % cuts_.size();
-  cuts_[link] = !cuts_[link];
+void ReaderSimulation::ToggleLink(std::uint32_t choice) {
+  const std::size_t link = choice % broken_links_.size();
+  broken_links_[link] = !broken_links_[link];
 }
 
-void ReaderWorld::Heal() {
-  std::fill(cuts_.begin(), cuts_.end(), false);
+void ReaderSimulation::EndFaultsAndSettle() {
+  std::fill(broken_links_.begin(), broken_links_.end(), false);
   for (std::size_t index = 0; index < kBalancers; ++index) {
-    if (balancers_[index].is_turned_away) {
-      SetTurnedAway(index, false, false);
+    if (balancers_[index].is_rejected) {
+      SetStoreRejection(index, false, false);
     }
   }
   for (int second = 0; second < 8; ++second) {
-    Rest();
+    AdvanceOneSecond();
   }
 }
 
-void ReaderWorld::Check() {
+void ReaderSimulation::Check() {
   for (std::size_t index = 0; index < kBalancers; ++index) {
     const Balancer& balancer = balancers_[index];
     const std::uint64_t version = balancer.core->Routes().version;
     if (balancer.paused_until || version >= changes_.size()) {
       continue;
     }
-    const base::TimePoint begin = std::max(changes_[version], balancer.undisturbed_since);
-    if (now_ - begin > kLimit && !balancer.is_turned_away) {
+    const base::TimePoint begin = std::max(changes_[version], balancer.healthy_since);
+    if (now_ - begin > kLimit && !balancer.is_rejected) {
       violation_ = "balancer " + std::to_string(index) + " has no news for longer than the limit";
     }
   }
--- a/proofs/placement/src/reader_world.h
+++ b/proofs/placement/src/reader_simulation.h
@@ -16,31 +16,32 @@
 namespace gaugevalve::proofs {
 
 // What a mutant takes away.
-struct ReaderWorldSettings {
+struct ReaderSimulationSettings {
   base::Duration change_limit = std::chrono::seconds(6);  // that the balancers believe in
-  bool tells_refusals_apart = true;  // a call that fails says nothing of the newest configuration
+  bool detects_failed_calls = true;  // a call that fails says nothing of the newest configuration
 };
 
 // One step is a tenth of a second. A balancer has to have each version within kLimit of its change,
 // if all that time it ran and the store served it. The store may turn any of them away, silently or
 // not; cuts between balancers are one-way.
-class ReaderWorld {
+class ReaderSimulation {
  public:
   static constexpr std::size_t kBalancers = 9;
   static constexpr base::Duration kLimit = std::chrono::seconds(6);
 
-  explicit ReaderWorld(const ReaderWorldSettings& settings);
+  explicit ReaderSimulation(const ReaderSimulationSettings& settings);
 
   void Advance();
-  void Rest();  // a second
+  void AdvanceOneSecond();  // a second
   void Change();
   void Restart(std::uint32_t choice);
   void Pause(std::uint32_t choice);  // ends after two seconds
   void PauseReaders();
-  void TurnAway(std::uint32_t choice);  // until the next call for the same one
-  void TurnReadersAway();
-  void Cut(std::uint32_t choice);  // from one to another; until the next call for the same two
-  void Heal();                     // ends all faults
+  void ToggleStoreRejection(std::uint32_t choice);  // until the next call for the same one
+  void RejectReadersAtStore();
+  void ToggleLink(
+      std::uint32_t choice);  // from one to another; until the next call for the same two
+  void EndFaultsAndSettle();  // ends all faults
 
   const std::optional<std::string>& Violation() const { return violation_; }
   std::size_t ChangesSeen() const { return changes_seen_; }
@@ -58,9 +59,9 @@
     std::deque<Message> inbox;
     std::optional<base::TimePoint> paused_until;
     base::TimePoint next_round{};
-    base::TimePoint undisturbed_since{};       // running, and served by the store
+    base::TimePoint healthy_since{};           // running, and served by the store
     std::optional<base::TimePoint> call_ends;  // of the call under way
-    bool is_turned_away = false;
+    bool is_rejected = false;
     bool is_silent = false;  // turned away without an answer
     bool call_fails = false;
     std::uint64_t watched = 0;  // version that the watch under way began with; 0 for a read
@@ -74,15 +75,15 @@
   void SetVersion(std::size_t index, std::uint64_t version);
   void Send(std::size_t index, const std::vector<placement::OutgoingGreeting>& greetings);
   void PauseOne(std::size_t index);
-  void SetTurnedAway(std::size_t index, bool is_turned_away, bool is_silent);
+  void SetStoreRejection(std::size_t index, bool is_rejected, bool is_silent);
   std::vector<std::size_t> Readers();
   void Check();
 
-  ReaderWorldSettings settings_;
+  ReaderSimulationSettings settings_;
   base::RandomSource random_{1};
   base::TimePoint now_{std::chrono::seconds(100)};
   std::vector<Balancer> balancers_;
-  std::vector<bool> cuts_ = std::vector<bool>(kBalancers * kBalancers);
+  std::vector<bool> broken_links_ = std::vector<bool>(kBalancers * kBalancers);
   std::vector<base::TimePoint> changes_;  // of version 1 on
   std::optional<std::string> violation_;
   std::size_t changes_seen_ = 0;
