--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -9,34 +9,34 @@
 namespace {
 
 constexpr base::Duration kSweepPeriod = std::chrono::seconds(1);
-// Ticks come several times a second; between two that are further apart the process stood still.
-constexpr base::Duration kLongestGap = std::chrono::seconds(1);
-// How long a balancer that has just started waits for agents that nobody has named, though there
-// are said to be more: the number may be old, and any agent that lives has been in some agent's
-// list or had its turn to report by then, but for a few in a hundred.
-constexpr base::Duration kUnnamedLimit = std::chrono::milliseconds(2000);
-// Datagrams that waited meanwhile have all been read by then.
-constexpr base::Duration kWakingTime = std::chrono::milliseconds(500);
-// A copy of a packet makes its agent a suspect if it hasn't been heard for so long: those that are
-// used tell of their load four times a second.
-constexpr base::Duration kQuietTime = std::chrono::milliseconds(300);
-// A suspect that answers nothing for this part of the silence limit is no longer taken for the
-// holder of a flow. Half: restarted agents were back within 0.57 s, by plan, and 0.85 s after total
-// stops (logs, docs/design/0018 and AgentQueries::kRetryPause), and each client
-// of a flow that has gone waits for it.
-constexpr int kSuspectPart = 2;
-
-// How many questions to a suspect take that long.
-unsigned SuspectQuestions(base::Duration silence_limit) {
-  constexpr unsigned kLeast = 4;  // some may be lost
+// Tick() is called several times a second. A longer gap between two calls is taken for a pause.
+constexpr base::Duration kMaxTickGap = std::chrono::seconds(1);
+// How long a balancer that has just started waits for agents that no node has named, if the
+// reported number of agents is larger. That number may be outdated, and by then all but a few
+// percent of the live agents have been in some agent's list or have reported themselves.
+constexpr base::Duration kUnnamedAgentsTimeout = std::chrono::milliseconds(2000);
+// Time after a start or a pause by which all datagrams that waited in the sockets have been read.
+constexpr base::Duration kResumeGracePeriod = std::chrono::milliseconds(500);
+// A retransmission makes its flow's agent a suspect if the agent has been silent for this long.
+// Agents report their load four times a second to the balancers that use them.
+constexpr base::Duration kSuspectAfterSilence = std::chrono::milliseconds(300);
+// A suspect that does not answer for the silence limit divided by this number no longer counts as
+// the holder of a flow. Half the limit is enough: restarted agents were back within 0.57 s after
+// planned restarts and 0.85 s after total stops (docs/design/0018, AgentQueries::kRetryPause).
+// Each client of a lost flow waits for this time.
+constexpr int kSuspectLimitDivisor = 2;
+
+// Returns the number of queries to a suspect in that time.
+unsigned SuspectQueries(base::Duration silence_limit) {
+  constexpr unsigned kMinQueries = 4;  // some queries or answers may be lost
   const auto count =
-      static_cast<unsigned>(silence_limit / kSuspectPart / AgentQueries::kRetryPause);
-  return std::max(kLeast, count);
+      static_cast<unsigned>(silence_limit / kSuspectLimitDivisor / AgentQueries::kRetryPause);
+  return std::max(kMinQueries, count);
 }
 
-// Added to the idle time-out, by which clients and endpoints may differ.
-constexpr base::Duration kIdleSlack = std::chrono::seconds(3);
-// Past services that are remembered for an address.
+// Added to the configured idle time-out, because those of clients and endpoints may differ from it.
+constexpr base::Duration kIdleTimeoutMargin = std::chrono::seconds(3);
+// Maximum number of past services stored for a virtual address.
 constexpr std::size_t kPastServiceLimit = 8;
 
 }  // namespace
@@ -64,10 +64,10 @@
     : m_settings(std::move(settings)),
       m_random(random),
       m_agents(m_settings.agent_limit, m_settings.report_lifetime),
-      m_suspects(SuspectQuestions(m_settings.silence_limit)),
+      m_suspects(SuspectQueries(m_settings.silence_limit)),
       m_chooser(m_settings.zone, random),
       m_started_at(now),
-      m_swept_at(now) {}
+      m_last_sweep_at(now) {}
 
 bool BalancerCore::SetRoutes(RouteTable routes) {
   if (routes.version <= m_routes.version) {
@@ -82,8 +82,8 @@
   return true;
 }
 
-// Adds the route's services to those that ever stood behind its address, and forgets the oldest of
-// those that no longer do.
+// Moves the route's services to the end of the address's present and past services, and removes
+// the oldest past ones beyond the limit.
 void BalancerCore::NoteServices(const Route& route, std::vector<base::ServiceId>& services) {
   std::vector<base::ServiceId> present;
   for (const WeightedService& part : route.services) {
@@ -96,9 +96,9 @@
   services.insert(services.end(), present.begin(), present.end());
 }
 
-void BalancerCore::NoticePause(base::TimePoint now) {
+void BalancerCore::DetectPause(base::TimePoint now) {
   const base::Duration gap = m_ticked_at ? now - *m_ticked_at : base::Duration(0);
-  if (gap <= kLongestGap) {
+  if (gap <= kMaxTickGap) {
     return;
   }
   m_ticked_at = now;
@@ -110,35 +110,35 @@
   m_new_suspects.clear();
 }
 
-bool BalancerCore::HasJustWoken(base::TimePoint now) {
-  NoticePause(now);
-  return now - m_started_at < kWakingTime;
+bool BalancerCore::HasJustResumed(base::TimePoint now) {
+  DetectPause(now);
+  return now - m_started_at < kResumeGracePeriod;
 }
 
 BalancerDecision BalancerCore::OnClientPacket(const FlowPacket& packet, base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   if (m_routes.version == 0) {
     return Drop(BalancerReason::kNoRoutes);
   }
-  return packet.is_opening ? OnOpening(packet, now) : OnLater(packet, now);
+  return packet.is_opening ? OnOpening(packet, now) : OnLaterPacket(packet, now);
 }
 
-BalancerDecision BalancerCore::OnLater(const FlowPacket& packet, base::TimePoint now) {
+BalancerDecision BalancerCore::OnLaterPacket(const FlowPacket& packet, base::TimePoint now) {
   const Route* route = m_routes.Find(packet.flow.destination);
   const auto found = m_flows.find(packet.flow);
   const bool is_known = found != m_flows.end() && found->second.agent != base::SocketAddress();
   if (route == nullptr) {
-    // Without a record there is no telling a removed route from one not heard of yet.
+    // Without a record, a removed route can't be told from one that has not been received yet.
     if (!is_known) {
       return Drop(BalancerReason::kNoRoute);
     }
     m_flows.erase(found);
     return Reset(BalancerReason::kRouteRemoved, packet);
   }
-  FlowRecord& record = *Remember(packet.flow);
+  FlowRecord& record = *FindOrAddRecord(packet.flow);
   record.last_packet = now;
   record.priority = route->request_class.priority;
-  NoteOpen(record);
+  MarkOpen(record);
   NoteData(packet, record, now);
   if (is_known && IsSearchLost(record, now)) {
     SuspectRoute(record, now);
@@ -151,20 +151,20 @@
   if (is_known) {
     AddOnce(record.refused, record.agent);
     record.is_confirmed = false;
-  } else if (RecallHolder(packet.flow, record, now)) {
+  } else if (FindSavedHolder(packet.flow, record, now)) {
     return ForwardTo(record, BalancerReason::kRemembered, 0);
   }
   return Search(packet, *route, record, 0, now);
 }
 
-// Whether the agent that the flow was given to has been silent for too long, or has gone.
+// Returns whether the flow's agent is known and no longer counts as a holder of flows.
 bool BalancerCore::IsGivenUp(const FlowRecord& record, base::TimePoint now) {
   const KnownAgent* agent = m_agents.Find(record.agent);
   return agent != nullptr && !MayHoldFlows(*agent, now);
 }
 
-// Whether the agent's endpoint admits new flows and its zone isn't evacuated.
-bool BalancerCore::TakesNewFlows(const KnownAgent& agent) const {
+// Returns whether the agent's endpoint admits new flows and its zone is not evacuated.
+bool BalancerCore::AdmitsNewFlows(const KnownAgent& agent) const {
   return agent.report.standing == EndpointStanding::kAdmitting &&
          !m_evacuated.Has(agent.report.zone);
 }
@@ -181,12 +181,12 @@
   return known == nullptr || !AgentDirectory::IsPresent(*known) || !MayHoldFlows(*known, now);
 }
 
-// Whether what is known of the agent holds, and it owes no answer.
+// Returns whether the agent's report is fresh and no query to it is overdue.
 bool BalancerCore::IsResponsive(const KnownAgent& agent, base::TimePoint now) const {
   return m_agents.IsFresh(agent, now) && !m_suspects.IsOverdue(agent.address, now);
 }
 
-// Has the agent asked for a report unless it was heard after `since`.
+// Queues a report query to the agent unless it was heard after `since`.
 void BalancerCore::Suspect(const KnownAgent& agent, base::TimePoint since, base::TimePoint now) {
   const bool is_silent = !agent.is_only_listed && agent.heard_at <= since;
   if (is_silent && m_suspects.Ask(agent.address, now)) {
@@ -194,7 +194,7 @@
   }
 }
 
-// A search got lost: one of the agents on its way has gone, and it isn't known which.
+// Suspects all agents on the route of a lost search: one of them is lost, but it is unknown which.
 void BalancerCore::SuspectRoute(const FlowRecord& record, base::TimePoint now) {
   std::vector<base::SocketAddress> route = record.route;
   route.push_back(record.agent);
@@ -206,37 +206,40 @@
   }
 }
 
-// A client that sends the same data again got no answer: its flow's agent may have gone.
+// Records a packet with data. A client that retransmits data got no answer, so the flow's agent may
+// be lost and becomes a suspect if it is silent.
 void BalancerCore::NoteData(const FlowPacket& packet, FlowRecord& record, base::TimePoint now) {
   record.acknowledged = packet.acknowledged;
   if (packet.data_size == 0) {
     return;
   }
-  record.data_at = now;
+  record.last_data_at = now;
   const bool is_copy = record.has_data && record.data_sequence == packet.sequence;
   record.has_data = true;
   record.data_sequence = packet.sequence;
   const KnownAgent* agent = is_copy ? m_agents.Find(record.agent) : nullptr;
   if (agent != nullptr) {
-    Suspect(*agent, now - kQuietTime, now);
+    Suspect(*agent, now - kSuspectAfterSilence, now);
   }
 }
 
-// Whether the flow's agent has gone with its endpoint, and the client waits for nothing.
+// Returns whether the open flow's agent counts as lost and the client has sent no data for so long
+// that it is not waiting for a response.
 bool BalancerCore::IsDead(const FlowKey& flow, const FlowRecord& record, base::TimePoint now) {
   const Route* route = m_routes.Find(flow.destination);
   if (route == nullptr || !record.is_open || record.is_searching || !IsGivenUp(record, now)) {
     return false;
   }
-  const base::Duration patience =
+  const base::Duration reset_delay =
       std::max<base::Duration>(route->request_class.time_limit, m_settings.silence_limit / 2);
-  return now - record.data_at > patience;
+  return now - record.last_data_at > reset_delay;
 }
 
-// Flows whose clients are silent are reset once their agent is given up, as those are whose clients
-// send: what is sent on them later would be lost. An agent that is only cut off may be given up as
-// well, and then its idle flows are opened anew elsewhere; answers under way are waited for.
-void BalancerCore::NoteDeadFlows(base::TimePoint now) {
+// Queues resets for flows whose agent counts as lost and whose clients are silent, because requests
+// sent on them later would be lost. Flows whose clients send are reset after a search. An agent
+// that is only partitioned may count as lost as well: its idle flows are then opened again
+// elsewhere, and flows that may await a response are not reset before the time limit.
+void BalancerCore::QueueFlowsOfLostAgents(base::TimePoint now) {
   if (IsLearning(now)) {
     return;
   }
@@ -259,10 +262,11 @@
   m_agents.TakeLoad(address, notice, now);
 }
 
-void BalancerCore::NoteOpen(FlowRecord& record) {
+void BalancerCore::MarkOpen(FlowRecord& record) {
   if (!record.is_open) {
     record.is_open = true;
-    // Who refused the opening may have taken a copy of it that came another way.
+    // An agent that refused the opening may have accepted a retransmission through another
+    // balancer.
     record.refused.clear();
     record.busy.clear();
   }
@@ -270,12 +274,12 @@
 
 ReportOutcome BalancerCore::OnReport(const base::SocketAddress& address, const AgentReport& report,
                                      base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   m_discovery.NoteHeard(address);
   m_suspects.NoteHeard(address);
   m_discovery.NoteAgentCount(report.agent_count);
   const ReportOutcome outcome = m_agents.Take(address, report, now);
-  TellDead(address);
+  QueueFlowsOfDeadIncarnations(address);
   return outcome;
 }
 
@@ -293,7 +297,8 @@
     return false;
   }
   const base::Duration age = now - m_started_at;
-  const base::Duration limit = m_discovery.IsWaiting() ? m_settings.silence_limit : kUnnamedLimit;
+  const base::Duration limit =
+      m_discovery.IsWaiting() ? m_settings.silence_limit : kUnnamedAgentsTimeout;
   const bool may_miss_some =
       m_discovery.HasCount() && age < limit && !m_discovery.IsComplete(m_agents.HeardCount());
   m_has_learned = age >= m_settings.learning_time && !may_miss_some;
@@ -320,29 +325,29 @@
   return decision;
 }
 
-BalancerCore::FlowRecord* BalancerCore::Remember(const FlowKey& flow) {
+BalancerCore::FlowRecord* BalancerCore::FindOrAddRecord(const FlowKey& flow) {
   const auto found = m_flows.find(flow);
   if (found != m_flows.end()) {
     return &found->second;
   }
   if (m_flows.size() >= m_settings.flow_limit) {
-    m_overflow = {};  // forgotten after this packet
-    return &m_overflow;
+    m_overflow_record = {};  // valid for this packet only
+    return &m_overflow_record;
   }
   return &m_flows[flow];
 }
 
 void BalancerCore::Tick(base::TimePoint now) {
-  NoticePause(now);
+  DetectPause(now);
   m_ticked_at = now;
-  if (now - m_swept_at < kSweepPeriod) {
+  if (now - m_last_sweep_at < kSweepPeriod) {
     return;
   }
-  m_swept_at = now;
+  m_last_sweep_at = now;
   const base::Duration idle =
-      std::min(m_settings.flow_retention, m_routes.idle_timeout + kIdleSlack);
+      std::min(m_settings.flow_retention, m_routes.idle_timeout + kIdleTimeoutMargin);
   absl::erase_if(m_flows, [&](const auto& entry) { return now - entry.second.last_packet > idle; });
-  NoteDeadFlows(now);
+  QueueFlowsOfLostAgents(now);
   m_recovery.Tick(now);
   m_agents.ForgetSilent(m_settings.flow_retention, now);
   const auto is_gone = [this](const base::SocketAddress& agent) {
--- a/libs/placement/src/forward_header.cpp
+++ b/libs/placement/src/forward_header.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint8_t kSearchFlag = 1;
 constexpr std::uint8_t kMustAcceptFlag = 2;
 constexpr std::uint8_t kRouteFlag = 4;
-// Three bits with the priority's distance from the default, so that a header without it, as earlier
-// releases write, has the default.
+// Three bits with the priority XOR the default priority. Headers of earlier releases have zeros
+// there and thus the default.
 constexpr unsigned kPriorityShift = 3;
 constexpr std::uint8_t kPriorityMask = (kPriorityCount - 1) << kPriorityShift;
 constexpr std::uint8_t kKnownFlags = kSearchFlag | kMustAcceptFlag | kRouteFlag | kPriorityMask;
@@ -128,7 +128,7 @@
                               kind <= static_cast<std::uint8_t>(MessageKind::kLoad);
   const bool has_known_flags = (flags & ~kKnownFlags) == 0;
   const bool has_known_reason = reason < kReturnReasonCount;
-  const bool has_limit_in_range = busy_limit <= ForwardHeader::kLargestLimit;
+  const bool has_limit_in_range = busy_limit <= ForwardHeader::kMaxBusyLimit;
   if (!has_known_kind || !has_known_flags || !has_known_reason || !has_limit_in_range) {
     return std::nullopt;
   }
--- a/libs/placement/tests/balancer_core_test.cpp
+++ b/libs/placement/tests/balancer_core_test.cpp
@@ -18,7 +18,7 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr std::int64_t kLearned = 5000;  // ms; the balancer has learned of all agents
+constexpr std::int64_t kLearnedAtMs = 5000;  // time by which the balancer is no longer learning
 
 class BalancerCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BalancerCoreTest);
@@ -26,46 +26,46 @@
   CPPUNIT_TEST(UnknownAddressIsResetAtOnce);
   CPPUNIT_TEST(TheLeastLoadedEndpointGetsTheFlow);
   CPPUNIT_TEST(CopiesAndLaterPacketsStayWithTheAgent);
-  CPPUNIT_TEST(ACopyLeavesAnAgentThatFellSilent);
+  CPPUNIT_TEST(ARetransmissionMovesFromASilentAgent);
   CPPUNIT_TEST(AnOpeningThatIsReturnedGoesToAnother);
-  CPPUNIT_TEST(AnOpeningThatAllReturnIsResetAtOnce);
-  CPPUNIT_TEST(ALateCopyOfAnOpenFlowsOpeningResetsNothing);
-  CPPUNIT_TEST(WhereAllAreBusyTheShortestQueueMustAccept);
-  CPPUNIT_TEST(AQueueThatGrewMeanwhileIsLeftForTheNextShortest);
-  CPPUNIT_TEST(OpeningsAreForcedOnFewEndpoints);
-  CPPUNIT_TEST(OfManyBusyEndpointsOnlyAFewAreTried);
-  CPPUNIT_TEST(WhereAllQueuesAreTooLongItIsResetAtOnce);
+  CPPUNIT_TEST(AnOpeningReturnedByAllAgentsIsResetAtOnce);
+  CPPUNIT_TEST(ALateReturnOfAnOpeningDoesNotResetAnOpenFlow);
+  CPPUNIT_TEST(WhenAllAreBusyTheShortestQueueMustAccept);
+  CPPUNIT_TEST(WhenAQueueHasGrownTheNextShortestIsTried);
+  CPPUNIT_TEST(MustAcceptIsTriedOnFewEndpoints);
+  CPPUNIT_TEST(OnlyAFewOfManyBusyEndpointsAreTried);
+  CPPUNIT_TEST(WhenAllQueuesAreTooLongTheFlowIsResetAtOnce);
   CPPUNIT_TEST(AnUnknownFlowIsOfferedToEachAgentOnce);
-  CPPUNIT_TEST(ASearchGivesItsPacketTheRouteOfAllAgents);
-  CPPUNIT_TEST(AnAgentInTheMiddleOfARouteSpeaksForThoseBefore);
+  CPPUNIT_TEST(ASearchPacketCarriesTheRouteOfAllAgents);
+  CPPUNIT_TEST(AReturnImpliesThatEarlierAgentsOnTheRouteRefused);
   CPPUNIT_TEST(SilentAgentsAreNotOnTheRoute);
-  CPPUNIT_TEST(ASearchThatGotLostTakesAnotherOrder);
-  CPPUNIT_TEST(AReturnFromAnEarlierSearchSpeaksForItselfOnly);
+  CPPUNIT_TEST(ALostSearchIsRepeatedInAnotherOrder);
+  CPPUNIT_TEST(AReturnFromAnEarlierSearchRefusesForOneAgentOnly);
   CPPUNIT_TEST(AFlowThatNobodyHoldsIsReset);
-  CPPUNIT_TEST(AYoungBalancerDoesNotReset);
+  CPPUNIT_TEST(ALearningBalancerDoesNotReset);
   CPPUNIT_TEST(AnAgentNotHeardYetMayHoldTheFlow);
   CPPUNIT_TEST(AnAgentWithoutEndpointIsNotAsked);
   CPPUNIT_TEST(AnAgentThatIsSilentForLongIsGivenUp);
-  CPPUNIT_TEST(ABalancerThatWasPausedResetsNothing);
-  CPPUNIT_TEST(ABalancerThatWasPausedLearnsAnew);
-  CPPUNIT_TEST(AnAgentThatReportsSeldomIsNotGivenUp);
-  CPPUNIT_TEST(ACopyLeavesAnAgentThatDidNotAnswerTheOpening);
-  CPPUNIT_TEST(TheFirstCopyLeavesAnAgentNotHeardSince);
-  CPPUNIT_TEST(ACopyStaysWithAnAgentHeardSince);
-  CPPUNIT_TEST(ACopyDoubledOnItsWayStays);
+  CPPUNIT_TEST(ABalancerResetsNothingAfterAPause);
+  CPPUNIT_TEST(ABalancerLearnsAgainAfterAPause);
+  CPPUNIT_TEST(AnAgentWithALongReportPeriodIsNotGivenUp);
+  CPPUNIT_TEST(ARetransmissionMovesFromAnAgentThatDidNotAnswer);
+  CPPUNIT_TEST(TheFirstRetransmissionMovesFromAnAgentNotHeardSince);
+  CPPUNIT_TEST(ARetransmissionStaysWithAnAgentHeardSince);
+  CPPUNIT_TEST(ADuplicateFromTheNetworkStaysWithTheAgent);
   CPPUNIT_TEST(AnAgentThatReturnsPacketsIsAlive);
   CPPUNIT_TEST(TheHolderIsRemembered);
-  CPPUNIT_TEST(AHolderIsBelievedBeforeItsFirstReport);
+  CPPUNIT_TEST(AHolderNoticeCountsBeforeTheFirstReport);
   CPPUNIT_TEST(AnAgentThatRefusedTheOpeningMayHoldTheFlow);
-  CPPUNIT_TEST(AHolderThatLostTheFlowEndsIt);
-  CPPUNIT_TEST(APacketReturnedByAFormerGuessFollowsTheNewOne);
-  CPPUNIT_TEST(ARemovedRouteCutsItsFlows);
-  CPPUNIT_TEST(AFlowOfARouteNotHeardOfIsNotReset);
+  CPPUNIT_TEST(AFlowLostByItsHolderIsReset);
+  CPPUNIT_TEST(APacketReturnedByAnEarlierAgentGoesToTheNextOne);
+  CPPUNIT_TEST(FlowsOfARemovedRouteAreReset);
+  CPPUNIT_TEST(AFlowOfAnUnknownRouteIsNotReset);
   CPPUNIT_TEST(AnOlderTableIsRefused);
-  CPPUNIT_TEST(OpenFlowsStayWhereTheyAreWhenWeightsChange);
-  CPPUNIT_TEST(ARouteOfManyServicesIsSearchedWhole);
+  CPPUNIT_TEST(OpenFlowsStayWhenWeightsChange);
+  CPPUNIT_TEST(AllServicesOfARouteAreSearched);
   CPPUNIT_TEST(OnlyPastServicesAreForgotten);
-  CPPUNIT_TEST(AReturnedPacketIsPassedOnBoundedly);
+  CPPUNIT_TEST(TheNumberOfPassesIsBounded);
   CPPUNIT_TEST(AFullTableSearchesForEachPacket);
   CPPUNIT_TEST(IdleFlowsAreForgotten);
   CPPUNIT_TEST_SUITE_END();
@@ -107,11 +107,11 @@
     Expect(BalancerVerdict::kForward, BalancerReason::kPlaced, Send(Opening(Flow(1), 777)));
   }
 
-  void ACopyLeavesAnAgentThatFellSilent() {
+  void ARetransmissionMovesFromASilentAgent() {
     Start();
     Hear(1);
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
-    m_now = At(kLearned + 2000);
+    m_now = At(kLearnedAtMs + 2000);
     Hear(2);
     CPPUNIT_ASSERT_EQUAL(Node(2), Send(Opening(Flow(1))).agent);
   }
@@ -126,7 +126,7 @@
     CPPUNIT_ASSERT_EQUAL(1, +second.header.attempt);
   }
 
-  void AnOpeningThatAllReturnIsResetAtOnce() {
+  void AnOpeningReturnedByAllAgentsIsResetAtOnce() {
     Start();
     HearThree();
     BalancerDecision decision = Send(Opening(Flow(1)));
@@ -137,8 +137,9 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kAllRefused, decision);
   }
 
-  // Found by placement_proof.
-  void ALateCopyOfAnOpenFlowsOpeningResetsNothing() {
+  // Regression test for a fault found by placement_proof: the delayed return of an opening reset an
+  // open flow.
+  void ALateReturnOfAnOpeningDoesNotResetAnOpenFlow() {
     Start();
     Hear(1);
     const BalancerDecision copy = Send(Opening(Flow(1)));
@@ -148,7 +149,7 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(1), 111)).agent);
   }
 
-  void WhereAllAreBusyTheShortestQueueMustAccept() {
+  void WhenAllAreBusyTheShortestQueueMustAccept() {
     Start();
     Hear(1, 6);
     Hear(2, 5);
@@ -161,12 +162,12 @@
     Expect(BalancerVerdict::kForward, BalancerReason::kPlaced, decision);
     CPPUNIT_ASSERT(decision.header.must_accept);
     CPPUNIT_ASSERT_EQUAL(Node(2), decision.agent);
-    // Whoever returns it now has the last word.
+    // The return of an opening sent with must_accept is final.
     decision = Return(Opening(Flow(1)), decision, ReturnReason::kNotHeld);
     Expect(BalancerVerdict::kReset, BalancerReason::kAllRefused, decision);
   }
 
-  void AQueueThatGrewMeanwhileIsLeftForTheNextShortest() {
+  void WhenAQueueHasGrownTheNextShortestIsTried() {
     Start();
     Hear(1, 6);
     Hear(2, 5);
@@ -176,20 +177,20 @@
       decision = Return(Opening(Flow(1)), decision, ReturnReason::kBusy);
     }
     CPPUNIT_ASSERT_EQUAL(Node(2), decision.agent);
-    // 60 % of 250 ms is time for two answers of 50 ms before it, on four slots.
+    // 60% of 250 ms leaves time for two responses of 50 ms before it, on each of four slots.
     CPPUNIT_ASSERT_EQUAL(12, +decision.header.busy_limit);
     decision = Return(Opening(Flow(1)), decision, ReturnReason::kBusy);
     CPPUNIT_ASSERT(decision.header.must_accept);
     CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);
   }
 
-  void OpeningsAreForcedOnFewEndpoints() {
+  void MustAcceptIsTriedOnFewEndpoints() {
     Start();
     for (std::uint32_t number = 1; number <= 20; ++number) {
       Hear(number, 5);
     }
     BalancerDecision decision = Send(Opening(Flow(1)));
-    for (int count = 0; count < 9; ++count) {  // seven that are full, then three
+    for (int count = 0; count < 9; ++count) {  // seven full ones, then three with must_accept
       decision = Return(Opening(Flow(1)), decision, ReturnReason::kBusy);
       CPPUNIT_ASSERT(decision.verdict == BalancerVerdict::kForward);
     }
@@ -197,7 +198,7 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kAllRefused, decision);
   }
 
-  void OfManyBusyEndpointsOnlyAFewAreTried() {
+  void OnlyAFewOfManyBusyEndpointsAreTried() {
     Start();
     for (std::uint32_t number = 1; number <= 20; ++number) {
       Hear(number, 5);
@@ -210,7 +211,7 @@
     CPPUNIT_ASSERT(decision.header.must_accept);
   }
 
-  void WhereAllQueuesAreTooLongItIsResetAtOnce() {
+  void WhenAllQueuesAreTooLongTheFlowIsResetAtOnce() {
     Start();
     Hear(1, 30);
     const BalancerDecision decision =
@@ -232,8 +233,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, asked.size());
   }
 
-  // A balancer with little processor can't afford a packet in and out for each agent that is asked.
-  void ASearchGivesItsPacketTheRouteOfAllAgents() {
+  // A balancer with little CPU time can't receive and send a packet for each agent that is asked.
+  void ASearchPacketCarriesTheRouteOfAllAgents() {
     Start();
     HearThree();
     const BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -241,13 +242,13 @@
     std::set<base::SocketAddress> asked(decision.route.begin(), decision.route.end());
     asked.insert(decision.agent);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, asked.size());
-    // The flow's next packet goes the same way until the holder is known.
+    // The flow's next packet takes the same route until the holder is known.
     CPPUNIT_ASSERT(Send(Data(Flow(1), 111)).route == decision.route);
     const BalancerDecision last = ReturnFrom(decision.route.back(), decision);
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, last);
   }
 
-  void AnAgentInTheMiddleOfARouteSpeaksForThoseBefore() {
+  void AReturnImpliesThatEarlierAgentsOnTheRouteRefused() {
     Start();
     HearThree();
     const BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -271,8 +272,8 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);
   }
 
-  // An agent that ends at that moment swallows what is passed on to it.
-  void ASearchThatGotLostTakesAnotherOrder() {
+  // An agent that stops during the search loses the packets that are forwarded to it.
+  void ALostSearchIsRepeatedInAnotherOrder() {
     Start();
     for (std::uint32_t number = 1; number <= 8; ++number) {
       Hear(number);
@@ -281,7 +282,8 @@
     for (int round = 0; round < 6; ++round) {
       const BalancerDecision decision = Send(Data(Flow(1), 101));
       CPPUNIT_ASSERT_EQUAL(std::size_t{7}, decision.route.size());
-      CPPUNIT_ASSERT_EQUAL(decision.agent, Send(Data(Flow(1), 111)).agent);  // close behind it
+      CPPUNIT_ASSERT_EQUAL(decision.agent,
+                           Send(Data(Flow(1), 111)).agent);  // while the search runs
       first_asked.insert(decision.agent);
       m_now += std::chrono::milliseconds(200);
       for (std::uint32_t number = 1; number <= 8; ++number) {
@@ -291,8 +293,9 @@
     CPPUNIT_ASSERT(first_asked.size() > 2);
   }
 
-  // Found by placement_proof: agents that the present search hadn't reached were taken as asked.
-  void AReturnFromAnEarlierSearchSpeaksForItselfOnly() {
+  // Regression test for a fault found by placement_proof: agents that the current search had not
+  // reached were counted as having refused.
+  void AReturnFromAnEarlierSearchRefusesForOneAgentOnly() {
     Start();
     for (std::uint32_t number = 1; number <= 8; ++number) {
       Hear(number);
@@ -309,16 +312,17 @@
   void AFlowThatNobodyHoldsIsReset() {
     Start();
     HearThree();
-    const BalancerDecision decision = SearchToTheEnd(Data(Flow(1), 101));
+    const BalancerDecision decision = ReturnFromAllAgents(Data(Flow(1), 101));
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, decision);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{5000}, decision.reset_sequence);
   }
 
-  void AYoungBalancerDoesNotReset() {
+  void ALearningBalancerDoesNotReset() {
     m_now = At(100);
     m_core->SetRoutes(Routes(1));
     HearThree();
-    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure, SearchToTheEnd(Data(Flow(1), 101)));
+    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure,
+           ReturnFromAllAgents(Data(Flow(1), 101)));
   }
 
   void AnAgentNotHeardYetMayHoldTheFlow() {
@@ -344,8 +348,8 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, decision);
   }
 
-  // Seen on a day with a power loss: a machine came back for a second, was heard once and taken
-  // away; searches ended at it, and clients of dead flows waited for their deadline.
+  // After a power loss a machine came back for one second, was heard once and was removed. Searches
+  // ended at its agent, and clients of dead flows waited until their deadline.
   void AnAgentThatIsSilentForLongIsGivenUp() {
     Start();
     Hear(1);
@@ -354,12 +358,12 @@
     BalancerDecision decision = Send(Data(Flow(1), 101));
     CPPUNIT_ASSERT_EQUAL(Node(2), decision.agent);
     decision = Return(Data(Flow(1), 101), decision, ReturnReason::kNotHeld);
-    CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);  // it may come back
+    CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);  // it may still answer
     m_now += std::chrono::milliseconds(200);
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, Send(Data(Flow(1), 101)));
   }
 
-  void ABalancerThatWasPausedResetsNothing() {
+  void ABalancerResetsNothingAfterAPause() {
     Start();
     Hear(1);
     const base::SocketAddress agent = Send(Opening(Flow(1))).agent;
@@ -373,21 +377,23 @@
     Expect(BalancerVerdict::kForward, BalancerReason::kSearched, unknown);
   }
 
-  // What it knew may be old: until it has heard the agents again, nothing is certain.
-  void ABalancerThatWasPausedLearnsAnew() {
+  // What the balancer knew before a pause may be outdated, so it resets no flow until it has heard
+  // the agents again.
+  void ABalancerLearnsAgainAfterAPause() {
     Start();
     Hear(1);
     m_core->Tick(m_now);
     m_now += std::chrono::seconds(6);
-    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure, SearchToTheEnd(Data(Flow(2), 101)));
+    Expect(BalancerVerdict::kDrop, BalancerReason::kNotSure,
+           ReturnFromAllAgents(Data(Flow(2), 101)));
     m_core->Tick(m_now);
     m_now += std::chrono::milliseconds(750);
     Hear(1);
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone,
-           SearchToTheEnd(Data(Flow(2), 101)));
+           ReturnFromAllAgents(Data(Flow(2), 101)));
   }
 
-  void AnAgentThatReportsSeldomIsNotGivenUp() {
+  void AnAgentWithALongReportPeriodIsNotGivenUp() {
     Start();
     AgentReport seldom = Report(1);
     seldom.period = std::chrono::seconds(150);
@@ -401,7 +407,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, asked);
   }
 
-  void ACopyLeavesAnAgentThatDidNotAnswerTheOpening() {
+  void ARetransmissionMovesFromAnAgentThatDidNotAnswer() {
     Start();
     AgentReport seldom = Report(1);
     seldom.period = std::chrono::seconds(150);
@@ -414,9 +420,9 @@
     CPPUNIT_ASSERT_EQUAL(Node(2), Send(Opening(Flow(1))).agent);
   }
 
-  // The opening was lost with its agent: the client's time is nearly over when the second copy
-  // comes.
-  void TheFirstCopyLeavesAnAgentNotHeardSince() {
+  // If the opening was lost with its agent, the first retransmission has to go elsewhere: the
+  // client's time limit has almost passed when it sends the second one.
+  void TheFirstRetransmissionMovesFromAnAgentNotHeardSince() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Opening(Flow(1)));
@@ -426,7 +432,7 @@
     CPPUNIT_ASSERT(copy.agent != first.agent);
   }
 
-  void ACopyStaysWithAnAgentHeardSince() {
+  void ARetransmissionStaysWithAnAgentHeardSince() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Opening(Flow(1)));
@@ -439,7 +445,7 @@
     CPPUNIT_ASSERT_EQUAL(first.agent, Send(Opening(Flow(1))).agent);
   }
 
-  void ACopyDoubledOnItsWayStays() {
+  void ADuplicateFromTheNetworkStaysWithTheAgent() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Opening(Flow(1)));
@@ -468,8 +474,9 @@
     CPPUNIT_ASSERT(!decision.header.is_search);
   }
 
-  // Found by placement_proof: the record's service was unknown, so the holder returned the packet.
-  void AHolderIsBelievedBeforeItsFirstReport() {
+  // Regression test for a fault found by placement_proof: the record had no service, so the holder
+  // returned the packet.
+  void AHolderNoticeCountsBeforeTheFirstReport() {
     Start();
     m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     const BalancerDecision decision = Send(Data(Flow(1), 111));
@@ -477,8 +484,8 @@
     CPPUNIT_ASSERT(orders_service == decision.header.service);
   }
 
-  // A copy of the opening, through another balancer, may have opened the flow at an agent that had
-  // refused it here.
+  // A retransmitted opening through another balancer may have opened the flow at an agent that
+  // refused the opening from this one.
   void AnAgentThatRefusedTheOpeningMayHoldTheFlow() {
     Start();
     Hear(1);
@@ -493,7 +500,7 @@
     CPPUNIT_ASSERT_EQUAL(first.agent, decision.agent);
   }
 
-  void AHolderThatLostTheFlowEndsIt() {
+  void AFlowLostByItsHolderIsReset() {
     Start();
     HearThree();
     m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
@@ -502,17 +509,17 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, decision);
   }
 
-  void APacketReturnedByAFormerGuessFollowsTheNewOne() {
+  void APacketReturnedByAnEarlierAgentGoesToTheNextOne() {
     Start();
     HearThree();
     const BalancerDecision first = Send(Data(Flow(1), 101));
-    Send(Data(Flow(1), 111));  // to the same agent, behind it
+    Send(Data(Flow(1), 111));  // goes to the same agent
     const BalancerDecision second = Return(Data(Flow(1), 101), first, ReturnReason::kNotHeld);
     const BalancerDecision third = Return(Data(Flow(1), 111), first, ReturnReason::kNotHeld);
     CPPUNIT_ASSERT_EQUAL(second.agent, third.agent);
   }
 
-  void ARemovedRouteCutsItsFlows() {
+  void FlowsOfARemovedRouteAreReset() {
     Start();
     HearThree();
     Send(Opening(Flow(1)));
@@ -524,7 +531,7 @@
     Expect(BalancerVerdict::kDrop, BalancerReason::kNoRoute, Send(Data(Flow(1), 121)));
   }
 
-  void AFlowOfARouteNotHeardOfIsNotReset() {
+  void AFlowOfAnUnknownRouteIsNotReset() {
     Start();
     const FlowKey flow = Flow(1, base::SocketAddress::Ipv4(0xc6120009, 443));
     Expect(BalancerVerdict::kDrop, BalancerReason::kNoRoute, Send(Data(flow, 101)));
@@ -538,7 +545,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, m_core->Routes().version);
   }
 
-  void OpenFlowsStayWhereTheyAreWhenWeightsChange() {
+  void OpenFlowsStayWhenWeightsChange() {
     Start();
     Hear(1);
     Send(Opening(Flow(1)));
@@ -546,13 +553,13 @@
     moved.routes[testing::virtual_address].services = {{testing::drawings_service, 1}};
     CPPUNIT_ASSERT(m_core->SetRoutes(moved));
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(1), 101)).agent);
-    // Also where the flow isn't remembered: the former service's agents are asked.
+    // A flow without a record is searched for at the agents of the former service.
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(2), 101)).agent);
   }
 
-  void ARouteOfManyServicesIsSearchedWhole() {
+  void AllServicesOfARouteAreSearched() {
     constexpr std::uint32_t kServices = 12;
-    m_now = At(kLearned);
+    m_now = At(kLearnedAtMs);
     m_core->SetRoutes(RoutesOfServices(2, 0, kServices));
     for (std::uint32_t number = 0; number < kServices; ++number) {
       HearOfService(number);
@@ -562,16 +569,16 @@
 
   void OnlyPastServicesAreForgotten() {
     constexpr std::uint32_t kVersions = 20;
-    m_now = At(kLearned);
+    m_now = At(kLearnedAtMs);
     for (std::uint32_t number = 0; number < kVersions; ++number) {
       m_core->SetRoutes(RoutesOfServices(2 + number, number, 2));
       HearOfService(number);
     }
-    // The present service that is heard, and eight of the past.
+    // The one present service that was heard, and eight past ones.
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, AgentsAsked());
   }
 
-  void AReturnedPacketIsPassedOnBoundedly() {
+  void TheNumberOfPassesIsBounded() {
     Start();
     HearThree();
     const BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -605,7 +612,7 @@
 
  private:
   void Start() {
-    m_now = At(kLearned);
+    m_now = At(kLearnedAtMs);
     CPPUNIT_ASSERT(m_core->SetRoutes(Routes(1)));
   }
 
@@ -624,14 +631,15 @@
     return routes;
   }
 
-  // One agent of the service is heard, under the service's number.
+  // Delivers a report from one agent of the service; the agent has the service's number.
   void HearOfService(std::uint32_t number) {
     AgentReport report = Report(1);
     report.service = NumberedService(number);
     m_core->OnReport(Node(number), report, m_now);
   }
 
-  // Lets the agents of each route return a packet of an unknown flow; returns how many were asked.
+  // Lets the agents of each search route return a packet of an unknown flow. Returns how many
+  // agents were asked.
   std::size_t AgentsAsked() {
     std::size_t asked = 0;
     BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -664,14 +672,14 @@
     return m_core->OnReturnedPacket(packet, header, decision.agent, m_now);
   }
 
-  // A later agent of a search's route returns the packet.
+  // Lets `agent`, which is on a search's route, return the packet.
   BalancerDecision ReturnFrom(const base::SocketAddress& agent, BalancerDecision decision) {
     decision.agent = agent;
     return Return(Data(Flow(1), 101), decision, ReturnReason::kNotHeld);
   }
 
-  // Lets each agent return the packet; returns what became of it.
-  BalancerDecision SearchToTheEnd(const FlowPacket& packet) {
+  // Lets each agent return the packet. Returns the final decision.
+  BalancerDecision ReturnFromAllAgents(const FlowPacket& packet) {
     BalancerDecision decision = Send(packet);
     while (decision.verdict == BalancerVerdict::kForward) {
       decision = Return(packet, decision, ReturnReason::kNotHeld);
