--- a/libs/dissemination/fuzz/message_fuzzer.cpp
+++ b/libs/dissemination/fuzz/message_fuzzer.cpp
@@ -1,4 +1,5 @@
-// Feeds a core arbitrary bytes as a peer's message. It must neither crash nor take an older record.
+// Passes arbitrary bytes to a core as a peer's message. It must neither crash nor replace a record
+// by an older one.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
--- a/libs/dissemination/include/gaugevalve/dissemination/byte_budget.h
+++ b/libs/dissemination/include/gaugevalve/dissemination/byte_budget.h
@@ -7,14 +7,14 @@
 
 namespace gaugevalve::dissemination {
 
-// Lets through `bytes_per_second` on average and `burst_bytes` at once. A caller may overdraw: the
-// debt is then worked off before anything else is let through, so the average holds.
+// Allows `bytes_per_second` on average and `burst_bytes` at once. A caller may overdraw the budget;
+// nothing more may be sent until the debt is paid off, so the average still holds.
 class ByteBudget {
  public:
   ByteBudget(double bytes_per_second, double burst_bytes)
       : bytes_per_second_(bytes_per_second), burst_bytes_(burst_bytes), tokens_(burst_bytes) {}
 
-  // Adds what has come in since the last call.
+  // Adds the tokens accrued since the last call.
   void Refill(base::TimePoint now) {
     if (started_ && now > refilled_at_) {
       const std::chrono::duration<double> elapsed = now - refilled_at_;
@@ -25,13 +25,13 @@
     refilled_at_ = now;
   }
 
-  // Takes these bytes off, below zero if need be.
+  // Deducts these bytes; the balance may become negative.
   void Spend(std::uint64_t bytes) { tokens_ -= static_cast<double>(bytes); }
 
-  // True when something may be sent.
+  // Returns whether something may be sent.
   bool HasTokens() const { return tokens_ > 0; }
 
-  // Returns when HasTokens() will be true again, seen from the last Refill().
+  // Returns when HasTokens() becomes true again, as of the last Refill().
   base::TimePoint AvailableAt() const {
     if (tokens_ > 0) {
       return refilled_at_;
--- a/libs/dissemination/include/gaugevalve/dissemination/dissemination_core.h
+++ b/libs/dissemination/include/gaugevalve/dissemination/dissemination_core.h
@@ -1,24 +1,22 @@
-// Spreads records among nodes: the decision core, without sockets, clocks or threads.
+// Disseminates records to all nodes. The core has no socket, clock or thread.
 //
-// - A new record goes at once to a few random peers: one gets its bytes, the others only its stamp,
-//   and ask for the bytes if they need them. Each node that learns of it does the same, once, so
-//   it is nearly everywhere after about log(n) rounds at a cost per node that doesn't grow with n.
-// - Whatever that missed is found by comparing a tree of digests with a random peer now and then;
-// two
-//   nodes with the same records find that out with a few dozen bytes.
-// - A small change travels as a patch on the version before; a node without that version asks for
-//   the whole, or for the steps it lacks.
-// - An empty node reads everything from several peers in pages; one that was isolated for
-// long reads
-//   what differs.
-// - Sending is held to budgets in bytes a second, one for spreading news and one for answers, so
-// that
-//   a long answer doesn't hold up news. Under pressure the newest changes go first; what is dropped
-//   from a full queue is left to the comparison.
+// - A new record is sent at once to a few random peers. Some of them (`eager_relays`) receive its
+//   value, the others only its stamp, and they request the value if they need it. Each node that
+//   receives the record forwards it once in the same way, so it reaches nearly all nodes after
+//   about log(n) rounds, at a cost per node that does not grow with n.
+// - Records that were missed are found by periodically comparing a digest tree with a random peer.
+//   Two nodes with the same records detect this with a few dozen bytes.
+// - A small change is sent as a patch against the previous version. A node without that version
+//   requests the whole value or the patches that it lacks.
+// - An empty node reads everything in pages from several peers. A node that was isolated for a long
+//   time reads only what differs.
+// - Byte budgets limit the sending rate: one for pushing updates and one for replies, so a long
+//   reply does not delay updates. When a budget is exhausted, the newest changes are sent first.
+//   Updates dropped from a full queue are left to the comparison.
 //
-// Embedding: call Publish() for own records, Receive() for each message from a peer, Tick() when
-// NextDeadline() is reached, UpsertPeer()/RemovePeer() as membership changes; send what Actions
-// says. A message may be lost, repeated or overtaken: the records still agree in the end.
+// Usage: call Publish() for own records, Receive() for each message from a peer, Tick() at
+// NextDeadline(), and UpsertPeer()/RemovePeer() as the membership changes; send the messages in
+// Actions. Messages may be lost, duplicated or reordered: the nodes still converge.
 #pragma once
 
 #include <cstddef>
@@ -49,46 +47,46 @@
 class Update;
 }  // namespace proto
 
-// Settings of one node. The defaults are those of docs/design/0006-dissemination.md.
+// Options of one node. The defaults are those of docs/design/0006-dissemination.md.
 struct DisseminationOptions {
   base::NodeId self;
   std::string zone;
   Interest interest;
-  std::size_t relays = 5;                 // peers told of each new record ...
-  std::size_t eager_relays = 2;           // ... and so many of them get its bytes at once
-  std::size_t eager_bytes = 640;          // updates above this size go out as announcements only
+  std::size_t relays = 5;                 // peers that receive each new record
+  std::size_t eager_relays = 2;           // the number of relays that receive the value at once
+  std::size_t eager_bytes = 640;          // updates above this size are only announced
   std::size_t max_scope_peers = 64;       // narrow peers that an author sends to directly
-  std::size_t max_queue = 8192;           // entries waiting for each budget; the oldest fall out
-  double push_bytes_per_second = 1500;    // for spreading news
-  double answer_bytes_per_second = 1500;  // for records that peers ask for, and comparisons
-  double burst_bytes = 16384;             // of each
-  double page_bytes_per_second = 40000;   // for serving nodes that lack much
+  std::size_t max_queue = 8192;           // entries per send queue; the oldest are dropped
+  double push_bytes_per_second = 1500;    // for pushed updates and announcements
+  double answer_bytes_per_second = 1500;  // for requested records and comparisons
+  double burst_bytes = 16384;             // of each of these two budgets
+  double page_bytes_per_second = 40000;   // for serving pages
   std::size_t page_bytes = 32768;
   std::size_t read_streams = 4;
   base::Duration batch_delay = std::chrono::milliseconds(20);
   base::Duration compare_interval = std::chrono::milliseconds(600);
   base::Duration narrow_compare_interval = std::chrono::seconds(3);
-  // A record that was asked for is awaited this long, then another peer is asked; a peer that can't
-  // answer in this time doesn't answer at all.
+  // A requested record is awaited for this long before another peer is asked. A peer that cannot
+  // reply within this time drops the reply.
   base::Duration request_timeout = std::chrono::milliseconds(400);
   base::Duration page_timeout = std::chrono::seconds(2);
   RecordStoreLimits limits;
   InjectedFaults faults;
 };
 
-// A message for a peer; the bytes are what its Receive() takes.
+// A message to a peer. The bytes are passed to its Receive().
 struct OutgoingMessage {
   base::NodeId to;
   std::string bytes;
 };
 
-// What the caller has to do after an event. Appended to, never cleared here.
+// The actions requested from the caller. The core appends to the lists and never clears them.
 struct Actions {
   std::vector<OutgoingMessage> messages;
-  std::vector<RecordKey> changed;  // records that are new in the store, in the order they came
+  std::vector<RecordKey> changed;  // records newly stored, in order of arrival
 };
 
-// Counts since the start.
+// Event counts since construction.
 struct DisseminationCounters {
   std::uint64_t bytes_sent = 0;
   std::uint64_t messages_sent = 0;
@@ -99,9 +97,9 @@
   std::uint64_t malformed_messages = 0;
   std::uint64_t uncovered_updates = 0;   // outside this node's interest
   std::uint64_t refused_full = 0;        // the store was full
-  std::uint64_t updates_superseded = 0;  // in a queue, by a later change of the same record
+  std::uint64_t updates_superseded = 0;  // replaced in a queue by a later change of the same record
   std::uint64_t queue_dropped = 0;       // left to the comparison
-  std::uint64_t answers_expired = 0;     // the peer has asked another by now
+  std::uint64_t answers_expired = 0;     // too late: the peer has asked another node by now
   std::uint64_t comparisons_equal = 0;
   std::uint64_t comparisons_different = 0;
   std::uint64_t pages_served = 0;
@@ -114,21 +112,21 @@
   // `random` must outlive the core.
   DisseminationCore(const DisseminationOptions& options, base::RandomSource& random);
 
-  // Takes a record of this node's own making into the store and spreads it with the next Tick(),
-  // together with what else is published by then.
+  // Stores a record created by this node. It is sent at the next Tick(), together with everything
+  // else published by then.
   PutResult Publish(const RecordKey& key, const RecordVersion& version, std::string value,
                     base::TimePoint now, Actions& actions);
 
-  // Handles one message. Malformed ones are counted and have no effect.
+  // Handles one message. Malformed messages are counted and have no effect.
   void Receive(base::NodeId from, std::string_view bytes, base::TimePoint now, Actions& actions);
 
-  // Does what is due by `now`.
+  // Performs the work that is due at `now`.
   void Tick(base::TimePoint now, Actions& actions);
 
-  // Compares with this peer now, for instance because it is known to hold something newer.
+  // Starts a comparison with this peer, for instance because it is known to hold something newer.
   void CompareWith(base::NodeId peer, base::TimePoint now, Actions& actions);
 
-  // Returns when Tick() has something to do next.
+  // Returns when Tick() must be called next.
   base::TimePoint NextDeadline() const;
 
   void UpsertPeer(const Peer& peer) { peers_.Upsert(peer); }
@@ -137,29 +135,29 @@
   const RecordStore& Records() const { return store_; }
   const DisseminationCounters& Counters() const { return counters_; }
 
-  // True once this node has read all pages from peers, or was found equal to one.
+  // Returns whether this node has read all pages from peers or was found equal to a peer.
   bool HasJoined() const { return joined_; }
 
-  // Returns when the last comparison was begun whose peer held nothing newer.
+  // Returns the start time of the latest comparison in which the peer held nothing newer.
   base::TimePoint ConfirmedAt() const { return confirmed_at_; }
 
  private:
   enum class SendMode : std::uint8_t { kAnnounce, kPush, kReply };
 
-  // Something waiting for the budget. The record's bytes are looked up when it is sent, and a later
-  // change for the same peer takes the place of one that waits, so several changes of one record in
-  // a burst cost one update.
+  // An entry waiting for the byte budget. The value is looked up when the entry is sent, and a
+  // later change for the same peer replaces a waiting one. Several changes of one record in a burst
+  // therefore cost one update.
   struct QueuedUpdate {
     base::NodeId to;
     RecordKey key;
     SendMode mode = SendMode::kAnnounce;
-    RecordStamp held;  // what the peer holds: as it said for replies, as supposed for pushes
+    RecordStamp held;  // what the peer holds: as it reported for replies, as assumed for pushes
     bool repair = false;
     base::TimePoint queued_at{};
-    std::uint64_t number = 0;  // of those queued, in order
+    std::uint64_t number = 0;  // sequence number in order of queueing
   };
 
-  // Where an update goes.
+  // The peer and record key of an update.
   struct Destination {
     base::NodeId to;
     RecordKey key;
@@ -172,33 +170,33 @@
     }
   };
 
-  // A record that a peer announced and was asked for.
+  // A record that a peer announced and that was requested from it.
   struct PendingRequest {
     RecordStamp wanted;
-    std::vector<base::NodeId> sources;  // asked in turn; bounded by kMaxSources
+    std::vector<base::NodeId> sources;  // other peers to ask in turn; bounded by kMaxSources
     base::TimePoint deadline;
   };
 
-  // A record to ask a peer for.
+  // A record to request from a peer.
   struct OutgoingRequest {
     base::NodeId to;
     RecordKey key;
   };
 
-  // One range of leaves that this node reads in pages.
+  // A range of leaves that this node reads in pages.
   struct ReadStream {
     base::NodeId source;  // 0: not chosen yet
     std::size_t first_leaf = 0;
     std::size_t end_leaf = 0;
     bool done = false;
-    bool asked = false;  // and not answered
+    bool asked = false;  // a page was requested and has not arrived
     bool has_after = false;
     RecordKey after;
-    base::TimePoint deadline;  // ask (again) then
+    base::TimePoint deadline;  // time of the next request
   };
 
-  // What waits for one budget, newest at the back. Of several entries for one destination only the
-  // last, which `newest` has, counts; the others are passed over when their turn comes.
+  // Entries waiting for one budget, newest at the back. Of several entries for one destination only
+  // the last one, which `newest` holds, is valid; the others are skipped when they are reached.
   struct SendQueue {
     std::deque<QueuedUpdate> waiting;
     absl::flat_hash_map<Destination, QueuedUpdate> newest;
@@ -250,10 +248,10 @@
   SendQueue answers_;
   ByteBudget page_budget_;
   absl::flat_hash_map<RecordKey, PendingRequest> requests_;
-  // Of records published here and not sent since: their state before.
+  // Records published here but not sent yet: their state before the change.
   absl::flat_hash_map<RecordKey, Record> unsent_;
   std::uint64_t last_queue_number_ = 0;
-  std::vector<OutgoingRequest> outgoing_requests_;  // sent at the end of the event
+  std::vector<OutgoingRequest> outgoing_requests_;  // sent at the end of the call
   std::vector<ReadStream> streams_;
   bool joined_ = false;
   base::TimePoint next_comparison_{};
--- a/libs/dissemination/include/gaugevalve/dissemination/peer_directory.h
+++ b/libs/dissemination/include/gaugevalve/dissemination/peer_directory.h
@@ -1,4 +1,4 @@
-// The peers a node may talk to, and the choice among them.
+// The peers of a node and the selection among them.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,8 @@
 
 namespace gaugevalve::dissemination {
 
-// A live peer as membership knows it.
+// A live peer, as reported by the membership. A full peer holds everything; a narrow peer holds the
+// records of one scope and of its common kinds.
 struct Peer {
   base::NodeId node;
   std::string zone;
@@ -23,54 +24,56 @@
   friend bool operator==(const Peer&, const Peer&) = default;
 };
 
-// Holds the live peers (the caller bounds their number) and picks random ones, mostly in the own
-// zone, so that most bytes stay near while every zone still hears from others. Not thread-safe.
+// Holds the live peers (the caller limits their number) and selects random ones, mostly in this
+// node's zone: most traffic stays within the zone, but updates still reach every zone. Not
+// thread-safe.
 class PeerDirectory {
  public:
   // `random` must outlive this object. `self` is never among the peers.
   PeerDirectory(Peer self, base::RandomSource& random) : self_(std::move(self)), random_(&random) {}
 
-  // Adds a peer or replaces what is known of it.
+  // Adds a peer or replaces its entry.
   void Upsert(const Peer& peer);
 
-  // Forgets a peer that left or died.
+  // Removes a peer that left or died.
   void Remove(base::NodeId node);
 
   // Returns the peer, or null.
   const Peer* Find(base::NodeId node) const;
 
-  // Returns the peers that this node tells of new records of this key: for records of common kinds
-  // any peers, otherwise such that hold everything. Up to `count` different ones, the last of them
-  // from any zone. They stay the same for a while, so that what is due at one time shares messages.
+  // Returns the relays to which this node sends new records of this key: any peers for records of
+  // common kinds, otherwise full peers. Returns up to `count` distinct peers, the last of them from
+  // any zone. The selection is kept for a while, so that updates due at the same time share
+  // messages.
   const std::vector<base::NodeId>& Relays(const RecordKey& key, std::size_t count,
                                           base::TimePoint now);
 
-  // Returns a random peer that holds everything, or node 0 when there is none. One in four is from
-  // any zone, the others from the own zone where it has one.
+  // Returns a random full peer, or node 0 when there is none. One in four is from any zone, the
+  // others are from this node's zone if it has one.
   base::NodeId ChooseFullPeer();
 
-  // Returns up to `limit` peers that want this key for its scope alone.
+  // Returns up to `limit` peers that hold this key only because of its scope.
   std::vector<base::NodeId> PeersOfScope(const RecordKey& key, std::size_t limit);
 
-  // Returns those of them that this node tells of the key's records whoever is the author: each
-  // narrow peer has kAssignedNodesPerPeer such nodes, the first ones that hold everything after it
-  // on a hash ring. So the work of telling all narrow peers is spread evenly, and all nodes agree
-  // on it.
+  // Returns the narrow peers among them that are assigned to this node: it sends them the key's
+  // records whoever the author is. Each narrow peer is assigned to kAssignedNodesPerPeer nodes, the
+  // full nodes that follow it on a hash ring. This spreads the work evenly, and all nodes compute
+  // the same assignment.
   std::vector<base::NodeId> AssignedPeersOfScope(const RecordKey& key);
 
   std::size_t PeerCount() const { return peers_.size(); }
   std::size_t FullPeerCount();
 
  private:
-  // A peer that hears of news from two nodes misses it only when both messages are lost.
+  // A peer that receives each update from two nodes misses it only when both messages are lost.
   static constexpr std::size_t kAssignedNodesPerPeer = 2;
 
   struct Group {
-    std::vector<base::NodeId> near;  // own zone
-    std::vector<base::NodeId> all;   // every zone, the own one too
+    std::vector<base::NodeId> near;  // in this node's zone
+    std::vector<base::NodeId> all;   // in any zone, including this node's
   };
 
-  // Relays chosen for a while.
+  // Relays that are reused until `valid_until`.
   struct RelaySet {
     std::vector<base::NodeId> nodes;
     base::TimePoint valid_until{};
@@ -86,11 +89,11 @@
   Peer self_;
   base::RandomSource* random_;
   std::unordered_map<base::NodeId, Peer> peers_;
-  Group full_;                      // rebuilt from peers_ when it changed
-  Group every_;                     // likewise
-  NodesByScope narrow_;             // likewise, narrow peers by rising identifier
-  NodesByScope assigned_;           // likewise, those of narrow_ that this node feeds
-  std::uint32_t common_kinds_ = 0;  // of all peers: these kinds are relayed by every peer
+  Group full_;                      // full peers; rebuilt from peers_ after a change
+  Group every_;                     // all peers; likewise
+  NodesByScope narrow_;             // likewise, narrow peers in ascending order of identifier
+  NodesByScope assigned_;           // likewise, the peers in narrow_ that are assigned to this node
+  std::uint32_t common_kinds_ = 0;  // of all peers: every peer relays records of these kinds
   RelaySet full_relays_;
   RelaySet every_relays_;
   bool stale_ = false;
--- a/libs/dissemination/include/gaugevalve/dissemination/record.h
+++ b/libs/dissemination/include/gaugevalve/dissemination/record.h
@@ -1,7 +1,8 @@
-// A record: the unit that nodes spread among themselves.
+// A record: the unit of dissemination.
 //
-// A record is a key, a version and some bytes that this library never looks into. Of two records
-// with one key the one with the larger stamp wins, on every node, whatever the order of arrival.
+// A record consists of a key, a version and a value, which is opaque to this library. Of two
+// records with the same key, the one with the larger stamp wins on every node, regardless of the
+// order of arrival.
 #pragma once
 
 #include <compare>
@@ -13,8 +14,8 @@
 
 namespace gaugevalve::dissemination {
 
-// Names a record. `kind` is the embedding program's (below 32), `scope` divides a kind, for
-// instance by service; kinds that exist once use scope 0.
+// Identifies a record. `kind` is defined by the application (below 32). `scope` subdivides a kind,
+// for instance by service; a kind with a single record uses scope 0.
 struct RecordKey {
   std::uint32_t kind = 0;
   std::uint32_t scope = 0;
@@ -27,7 +28,7 @@
   }
 };
 
-// Version given by the record's author; compared field by field.
+// A version assigned by the record's author; compared field by field.
 struct RecordVersion {
   std::uint64_t major = 0;
   std::uint64_t minor = 0;
@@ -35,8 +36,9 @@
   friend auto operator<=>(const RecordVersion&, const RecordVersion&) = default;
 };
 
-// The order of records of one key. The digest of the bytes breaks ties, so that nodes agree even if
-// two authors gave the same version to different bytes. A default stamp is older than any record.
+// Orders the records of one key. The digest of the value breaks ties, so that nodes agree even if
+// two authors assign the same version to different values. A default stamp is older than any
+// record.
 struct RecordStamp {
   RecordVersion version;
   std::uint64_t digest = 0;
@@ -44,7 +46,7 @@
   friend auto operator<=>(const RecordStamp&, const RecordStamp&) = default;
 };
 
-// What turns the bytes under the stamp `base` into the next bytes (see value_codec.h).
+// Transforms the value with the stamp `base` into the next value (see value_codec.h).
 struct Patch {
   RecordStamp base;
   std::string data;
@@ -52,21 +54,21 @@
   friend bool operator==(const Patch&, const Patch&) = default;
 };
 
-// One record as it is held. The bytes are shared, never changed.
+// A record as stored. The value is shared and immutable.
 struct Record {
   RecordKey key;
   RecordStamp stamp;
   std::shared_ptr<const std::string> value;
-  std::vector<Patch> patches;  // the last steps that led to `value`, oldest first; may be empty
+  std::vector<Patch> patches;  // the latest changes that led to `value`, oldest first; may be empty
 };
 
-// Which records a node holds.
+// The set of records that a node holds.
 struct Interest {
   bool everything = false;
-  std::uint32_t scope = 0;         // all records of this scope; 0 means none
+  std::uint32_t scope = 0;         // all records of this scope; 0: none
   std::uint32_t common_kinds = 0;  // bit k set: all records of kind k
 
-  // True when a node with this interest holds records of this key.
+  // Returns whether a node with this interest holds records of this key.
   bool Covers(const RecordKey& key) const {
     const bool common = ((common_kinds >> (key.kind % 32U)) & 1U) != 0;
     return everything || common || (scope != 0 && key.scope == scope);
--- a/libs/dissemination/include/gaugevalve/dissemination/record_store.h
+++ b/libs/dissemination/include/gaugevalve/dissemination/record_store.h
@@ -1,4 +1,4 @@
-// The records a node holds: the newest of each key, never an older one again.
+// The records of a node: the newest of each key. An older record never replaces a newer one.
 #pragma once
 
 #include <cstddef>
@@ -12,56 +12,58 @@
 
 namespace gaugevalve::dissemination {
 
-// Bounds of a RecordStore. What would pass a bound is refused and counted, nothing is evicted: the
-// records held are all in use, and dropping one would let an older one in again.
+// Limits of a RecordStore. A record that would exceed a limit is rejected and counted; nothing is
+// evicted, because all stored records are in use and evicting one would allow an older version back
+// in.
 struct RecordStoreLimits {
   std::size_t max_records = 8192;
-  std::size_t max_value_bytes = std::size_t{256} << 10U;  // of one record, uncompressed
+  std::size_t max_value_bytes = std::size_t{256} << 10U;  // per record, uncompressed
   std::size_t max_total_bytes = std::size_t{12} << 20U;   // values and patches together
-  std::size_t max_patches = 32;                           // kept per record
+  std::size_t max_patches = 32;                           // per record
 };
 
-// Deliberate faults, by which the proofs show that they would notice. Never set in production.
+// Faults that can be injected to show that the proofs detect them. Never set in production.
 struct InjectedFaults {
   bool accept_older_records = false;
 };
 
-// What became of a record that was offered.
+// The result of offering a record to the store.
 enum class PutResult : std::uint8_t {
   kStored = 0,
-  kNotNewer = 1,  // the one held is as new or newer
-  kFull = 2,      // it would pass a bound
+  kNotNewer = 1,  // the stored record is as new or newer
+  kFull = 2,      // would exceed a limit
 };
 
-// The record table. Pointers and iteration stay valid until the next Put() of the same key. Not
+// The table of records. Pointers and iterators stay valid until the next Put() of the same key. Not
 // thread-safe.
 class RecordStore {
  public:
   explicit RecordStore(const RecordStoreLimits& limits, const InjectedFaults& faults = {})
       : limits_(limits), faults_(faults) {}
 
-  // Offers a record of this node's own making. Makes the patch from the bytes held until now, if
-  // one is worth it. With `base`, an earlier state of this record, the patch is made from that: the
-  // steps in between, which nobody else has, are left out.
+  // Offers a record created by this node. Creates a patch from the stored value if that saves
+  // space. With `base`, an earlier state of this record, the patch starts from that state instead,
+  // which skips the intermediate versions that no other node has.
   PutResult Publish(const RecordKey& key, const RecordVersion& version, std::string value,
                     const Record* base = nullptr);
 
-  // Offers a record from a peer, with the patches that came along.
+  // Offers a record from a peer, with the patches received.
   PutResult Put(const RecordKey& key, const RecordVersion& version, std::string value,
                 std::vector<Patch> patches);
 
-  // Returns the record held, or null.
+  // Returns the stored record, or null.
   const Record* Find(const RecordKey& key) const;
 
-  // Returns its stamp, or the default one (older than any) when none is held.
+  // Returns the record's stamp, or the default stamp (older than any) when it is not stored.
   RecordStamp StampOf(const RecordKey& key) const;
 
-  // Returns the records of these leaves [first, end) that sort after `after`, in the order that
-  // pages are read in: by leaf, then key. `after` may be a key no longer held; null starts afresh.
+  // Returns the records of the leaves [first_leaf, end_leaf) that sort after `after`, in the order
+  // in which pages are read: by leaf, then by key. `after` may be a key that is no longer stored;
+  // null starts at the first leaf.
   std::vector<const Record*> InLeaves(std::size_t first_leaf, std::size_t end_leaf,
                                       const RecordKey* after = nullptr) const;
 
-  // Returns all records that the interest covers.
+  // Returns all records covered by the interest.
   std::vector<const Record*> Covered(const Interest& interest) const;
 
   const DigestTree& Digests() const { return digests_; }
@@ -89,7 +91,7 @@
   std::size_t total_bytes_ = 0;
 };
 
-// Returns the digest that a stamp carries for these bytes.
+// Returns the digest of a value as used in stamps.
 std::uint64_t DigestOf(const std::string& value);
 
 }  // namespace gaugevalve::dissemination
--- a/libs/dissemination/src/dissemination_core.cpp
+++ b/libs/dissemination/src/dissemination_core.cpp
@@ -1,4 +1,4 @@
-// Publishing, pushing and taking in records. Comparison and joining: dissemination_repair.cpp.
+// Publishes, pushes and applies records. For comparison and joining see dissemination_repair.cpp.
 #include "gaugevalve/dissemination/dissemination_core.h"
 
 #include <algorithm>
@@ -14,16 +14,18 @@
 namespace {
 
 constexpr std::size_t kMaxSources = 3;
-// Records asked for at one time; what is announced beyond that is left to the comparison.
+// Maximum number of records requested at one time. Announcements beyond it are left to the
+// comparison.
 constexpr std::size_t kMaxRequests = 64;
-// What a message costs on the wire beside its payload: envelope, framing, TCP and IP headers.
+// Bytes that a message costs on the wire in addition to its payload: envelope, framing, TCP and IP
+// headers.
 constexpr std::uint64_t kMessageOverhead = 80;
-// A flush builds its messages in rounds of at most so many entries and about so many bytes, and
-// looks at the budget between rounds.
+// A flush builds its messages in rounds of at most this many entries and approximately this many
+// bytes, and checks the budget between rounds.
 constexpr std::size_t kFlushRound = 64;
 constexpr std::size_t kMaxRoundBytes = 4096;
-// A node with more updates waiting than this sends each to fewer: one relay less, and an author
-// leaves the narrow peers to those that feed them.
+// A node with at least this many updates queued sends each one to fewer peers: it skips one relay,
+// and an author leaves the narrow peers to the nodes they are assigned to.
 constexpr std::size_t kBusyQueue = 64;
 
 }  // namespace
@@ -85,14 +87,14 @@
     HandlePage(from, message.page(), now, actions);
   }
   SendRequests(actions);
-  Flush(answers_, now, actions);  // a peer waits for these: no delay for batching
+  Flush(answers_, now, actions);  // a peer waits for these, so they are not delayed for batching
 }
 
 void DisseminationCore::Tick(base::TimePoint now, Actions& actions) {
   now_ = now;
   RetryRequests(now);
   if (pushes_.waiting.empty()) {
-    unsent_.clear();  // published with no peer to tell
+    unsent_.clear();  // published while there was no peer to send to
   }
   if (now >= next_comparison_) {
     CompareWithRandomPeer(now, actions);
@@ -124,13 +126,12 @@
   return deadline;
 }
 
-// Queues the record for a few random peers.
+// Queues the record for the relays, which are random peers.
 void DisseminationCore::QueueForRelays(const RecordKey& key, const RecordStamp& before,
                                        base::NodeId except, bool eager) {
   std::size_t pushes = eager ? options_.eager_relays : 0;
   const std::vector<base::NodeId>& relays = peers_.Relays(key, options_.relays, now_);
-  // With much to send one relay less is told, neither one of the eager ones nor the last, which may
-  // be in another zone.
+  // A busy node skips one relay: neither an eager one nor the last, which may be in another zone.
   const std::size_t skipped =
       pushes_.newest.size() < kBusyQueue ? relays.size() : options_.eager_relays;
   for (std::size_t place = 0; place < relays.size(); ++place) {
@@ -142,8 +143,8 @@
   }
 }
 
-// Tells narrow peers: those that this node feeds and, as the author, all of the scope while that
-// doesn't hold up the news for the others.
+// Queues the record for narrow peers: those assigned to this node or, if it is the author and not
+// busy, all peers of the scope.
 void DisseminationCore::QueueForScopePeers(const RecordKey& key, const RecordStamp& before,
                                            bool is_author) {
   const bool direct = is_author && pushes_.newest.size() < kBusyQueue;
@@ -173,7 +174,7 @@
   if (!added) {
     ++counters_.updates_superseded;
     const QueuedUpdate& earlier = place->second;
-    if (!is_reply) {  // the peer holds what it held when the earlier one was queued
+    if (!is_reply) {  // the peer still holds what it held when the earlier entry was queued
       waiting.held = earlier.held;
       waiting.mode = std::max(waiting.mode, earlier.mode);
     }
@@ -182,7 +183,7 @@
   queue.waiting.push_back(waiting);
 }
 
-// Takes the newest entry that counts; false when there is none.
+// Removes the newest valid entry. Returns false when there is none.
 bool DisseminationCore::PopNext(SendQueue& queue, QueuedUpdate& waiting) {
   while (!queue.waiting.empty()) {
     waiting = queue.waiting.back();
@@ -199,7 +200,8 @@
 void DisseminationCore::Flush(SendQueue& queue, base::TimePoint now, Actions& actions) {
   queue.budget.Refill(now);
   while (!queue.waiting.empty() && queue.budget.HasTokens()) {
-    // One round builds messages for several peers, so that what one peer gets shares a message.
+    // One round builds messages for several peers, so that all updates for one peer share a
+    // message.
     std::map<base::NodeId, proto::Message> messages;
     std::size_t bytes = 0;
     QueuedUpdate waiting;
@@ -243,8 +245,8 @@
   return entry.ByteSizeLong();
 }
 
-// Returns the cheapest form of the record that the peer can use: the patches from what it holds, or
-// the whole.
+// Returns the smallest form of the record that the peer can use: the patches from the version it
+// holds, or the whole value.
 proto::Update DisseminationCore::MakeUpdate(const Record& record, const QueuedUpdate& waiting) {
   const auto first = std::find_if(record.patches.begin(), record.patches.end(),
                                   [&](const Patch& patch) { return patch.base == waiting.held; });
@@ -318,7 +320,7 @@
   }
   unsent_.erase(key);
   actions.changed.push_back(key);
-  // What a narrow node wants for its scope alone is relayed by others.
+  // Records that a narrow node holds only because of their scope are relayed by other nodes.
   const bool is_relay = options_.interest.everything ||
                         Interest{false, 0, options_.interest.common_kinds}.Covers(key);
   if (relay && is_relay) {
@@ -342,13 +344,13 @@
     return;
   }
   if (pending == requests_.end() && requests_.size() >= kMaxRequests) {
-    return;  // the comparison will find it
+    return;  // left to the comparison
   }
   requests_[key] = {wanted, {}, now + options_.request_timeout};
   outgoing_requests_.push_back({from, key});
 }
 
-// Sends what RequestFrom() has collected, a message for each peer.
+// Sends the requests collected by RequestFrom(), one message per peer.
 void DisseminationCore::SendRequests(Actions& actions) {
   std::map<base::NodeId, proto::Message> messages;
   for (const OutgoingRequest& outgoing : outgoing_requests_) {
@@ -372,7 +374,7 @@
     PendingRequest request = requests_[key];
     requests_.erase(key);
     if (request.sources.empty()) {
-      continue;  // the comparison will find it
+      continue;  // left to the comparison
     }
     const base::NodeId next = request.sources.front();
     request.sources.erase(request.sources.begin());
--- a/libs/dissemination/src/dissemination_repair.cpp
+++ b/libs/dissemination/src/dissemination_repair.cpp
@@ -1,4 +1,4 @@
-// Comparison with a random peer, and reading everything on joining. See dissemination_core.cpp.
+// Comparison with a random peer, and reading all records on joining. See dissemination_core.cpp.
 #include <algorithm>
 #include <unordered_map>
 
@@ -10,12 +10,12 @@
 namespace gaugevalve::dissemination {
 namespace {
 
-// Bounds of what one message of a comparison makes the receiver send.
+// Limits on what one comparison message makes the receiver send.
 constexpr std::size_t kMaxBranchesFollowed = 2;
 constexpr std::size_t kMaxLeavesFollowed = 4;
 constexpr std::size_t kMaxUpdatesPerAnswer = 64;
 constexpr std::uint32_t kPageRetryMilliseconds = 500;
-// With so many branches different, what differs is read in pages.
+// If at least this many branches differ, the differences are read in pages.
 constexpr std::size_t kBranchesForPages = 12;
 
 void FillLevel(std::uint32_t branch_plus_one, const DigestTree::Digests& digests,
@@ -24,8 +24,8 @@
   level.mutable_digests()->Assign(digests.begin(), digests.end());
 }
 
-// Returns the positions at which the digests differ, starting at a random one so that a long list
-// is worked off evenly; at most `limit`.
+// Returns at most `limit` positions at which the digests differ. The search starts at a random
+// position, so that all positions of a long list are covered evenly over time.
 std::vector<std::size_t> Differences(const DigestTree::Digests& own,
                                      const proto::DigestLevel& theirs, std::size_t limit,
                                      base::RandomSource& random) {
@@ -58,7 +58,7 @@
   answers_.budget.Refill(now);
   const base::Duration usual =
       options_.interest.everything ? options_.compare_interval : options_.narrow_compare_interval;
-  // Comparisons aren't held back by the budget, but go on at half the rate while it is overdrawn.
+  // The budget does not hold back comparisons, but halves their rate while it is overdrawn.
   const base::Duration interval = answers_.budget.HasTokens() ? usual : 2 * usual;
   next_comparison_ = now + interval / 2 + random_->NextJitter(interval);
   const base::NodeId peer = peers_.ChooseFullPeer();
@@ -129,7 +129,7 @@
     }
   }
   for (const proto::LeafEntries& leaf : message.leaves()) {
-    // Only announced: the peer may be getting the same from another comparison.
+    // Only announced: the peer may be receiving the same records from another comparison.
     for (const Record* record : CompareEntries(from, store_.InLeaves(leaf.leaf(), leaf.leaf() + 1),
                                                PointersTo(leaf.entries()), now)) {
       FillEntry(record->key, record->stamp, *answer.add_announcements());
@@ -163,7 +163,8 @@
   }
 }
 
-// Asks for what the peer has newer; returns what it lacks of `held`, at most kMaxUpdatesPerAnswer.
+// Requests the records of which the peer has a newer version. Returns the records in `held` that
+// the peer lacks, at most kMaxUpdatesPerAnswer.
 std::vector<const Record*> DisseminationCore::CompareEntries(
     base::NodeId from, const std::vector<const Record*>& held,
     const std::vector<const proto::Entry*>& theirs, base::TimePoint now) {
@@ -193,7 +194,7 @@
   joined_ = true;
 }
 
-// Begins to read what differs in pages, unless that is going on already.
+// Starts to read the differing records in pages, unless a read is in progress.
 void DisseminationCore::StartPageReads(base::NodeId source, base::TimePoint now) {
   const bool reading = std::any_of(streams_.begin(), streams_.end(),
                                    [](const ReadStream& stream) { return !stream.done; });
@@ -212,7 +213,8 @@
   }
 }
 
-// Asks for the pages that are due. A stream whose source doesn't answer goes on with another.
+// Requests the pages that are due. If the source of a stream does not answer, the stream continues
+// with another one.
 void DisseminationCore::AdvancePageReads(base::TimePoint now, Actions& actions) {
   const bool must_join = options_.interest.everything && !joined_ && streams_.empty();
   if (must_join && peers_.FullPeerCount() > 0) {
--- a/libs/dissemination/src/message_codec.h
+++ b/libs/dissemination/src/message_codec.h
@@ -1,4 +1,4 @@
-// Between the library's types and its protobuf messages.
+// Conversion between the library's types and its protobuf messages.
 #pragma once
 
 #include <string>
@@ -8,10 +8,8 @@
 
 namespace gaugevalve::dissemination {
 
-// Fills `entry` with a key and a stamp.
 void FillEntry(const RecordKey& key, const RecordStamp& stamp, proto::Entry& entry);
 
-// Fills `message` with a patch.
 void FillPatch(const Patch& patch, proto::Patch& message);
 
 RecordKey KeyOf(const proto::Entry& entry);
--- a/libs/dissemination/src/peer_directory.cpp
+++ b/libs/dissemination/src/peer_directory.cpp
@@ -10,10 +10,10 @@
 
 constexpr std::uint64_t kAnyZoneOneIn = 4;
 constexpr base::Duration kRelayPeriod = std::chrono::seconds(1);
-// Draws per wanted relay before giving up on finding another distinct one.
+// Number of draws per relay, after which the search for another distinct one ends.
 constexpr std::size_t kDrawsPerRelay = 4;
 
-// A node's place on the hash ring.
+// A node's position on the hash ring that assigns narrow peers to full nodes.
 struct RingPlace {
   std::uint64_t position = 0;
   base::NodeId node;
@@ -58,7 +58,8 @@
   full_relays_ = {};
   every_relays_ = {};
   common_kinds_ = 0;
-  std::vector<base::NodeId> sorted;  // the same order on every run, whatever the hash map's
+  std::vector<base::NodeId>
+      sorted;  // independent of the iteration order of the hash map, so that runs are reproducible
   sorted.reserve(peers_.size());
   for (const auto& [node, peer] : peers_) {
     sorted.push_back(node);
@@ -83,7 +84,7 @@
   stale_ = false;
 }
 
-// Puts the narrow peers in order of their scopes and finds those that this node feeds.
+// Groups the narrow peers by scope and finds those that are assigned to this node.
 void PeerDirectory::RebuildScopes(const std::vector<base::NodeId>& sorted) {
   narrow_.clear();
   assigned_.clear();
@@ -118,7 +119,7 @@
 const std::vector<base::NodeId>& PeerDirectory::Relays(const RecordKey& key, std::size_t count,
                                                        base::TimePoint now) {
   Rebuild();
-  // A kind that any narrow peer wants whatever its scope is relayed by all.
+  // A kind that any narrow peer holds in all scopes is relayed by all peers.
   const bool common = Interest{false, 0, common_kinds_}.Covers(key);
   RelaySet& relays = common ? every_relays_ : full_relays_;
   if (now >= relays.valid_until) {
--- a/libs/dissemination/src/record_store.cpp
+++ b/libs/dissemination/src/record_store.cpp
@@ -54,7 +54,7 @@
   return PutResult::kStored;
 }
 
-// Keeps the newest patches, as long as a chain of them is shorter than the record itself.
+// Keeps the newest patches, as long as they take at most half the size of the value in total.
 void RecordStore::DropOldPatches(std::size_t value_bytes, std::vector<Patch>& patches) const {
   std::size_t kept = 0;
   std::size_t bytes = 0;
--- a/libs/dissemination/tests/core_cluster.h
+++ b/libs/dissemination/tests/core_cluster.h
@@ -1,4 +1,4 @@
-// A few cores joined by a queue that loses, repeats and reorders, in simulated time.
+// A few cores connected by a queue that drops, duplicates and reorders messages, in simulated time.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace gaugevalve::dissemination {
 
-// Nodes 1..n, all knowing each other. Messages are delivered at the next step, in random order.
+// Nodes 1..n, which all know each other. Messages are delivered at the next step, in random order.
 class CoreCluster {
  public:
   CoreCluster(std::size_t nodes, std::uint64_t seed, double loss) : random_(seed), loss_(loss) {
@@ -22,7 +22,7 @@
     }
   }
 
-  // Adds a node with this interest; everybody learns of it.
+  // Adds a node with this interest and makes it known to all others.
   std::size_t Add(const Interest& interest) {
     DisseminationOptions options;
     options.self = base::NodeId(cores_.size() + 1);
@@ -51,7 +51,7 @@
     Collect(index, actions);
   }
 
-  // Runs for this long, in steps of 5 ms.
+  // Runs for this long in steps of 5 ms.
   void Run(base::Duration duration) {
     constexpr base::Duration kStep = std::chrono::milliseconds(5);
     for (const base::TimePoint end = now_ + duration; now_ < end; now_ += kStep) {
@@ -75,7 +75,7 @@
     }
   }
 
-  // Cuts a node off from the others.
+  // Isolates a node from the others, or reconnects it.
   void SetIsolated(std::size_t index, bool isolated) {
     isolated_.resize(cores_.size());
     isolated_[index] = isolated;
--- a/libs/dissemination/tests/dissemination_core_test.cpp
+++ b/libs/dissemination/tests/dissemination_core_test.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t kService = 42;
 constexpr RecordKey kTable{4, kService};
 
-// A value that hardly compresses, so that it is too large to be pushed.
+// Returns a value that hardly compresses and is therefore too large to be pushed.
 std::string RandomBytes(std::size_t size, std::uint64_t seed) {
   base::RandomSource random(seed);
   std::string bytes(size, '\0');
@@ -64,7 +64,7 @@
     for (std::size_t index = 0; index < cluster.Size(); ++index) {
       duplicates += cluster.Core(index).Counters().duplicates_received;
     }
-    CPPUNIT_ASSERT(duplicates < 25);  // announced and asked for, not pushed
+    CPPUNIT_ASSERT(duplicates < 25);  // announced and requested, not pushed
   }
 
   void LossIsRepaired() {
@@ -169,9 +169,9 @@
       cluster.Publish(0, {2, scope}, 1, RandomBytes(500, scope));
     }
     cluster.Run(std::chrono::seconds(10));
-    // Twice 1,500 bytes a second and a first burst of 16,384 each; the rest is for the small
-    // questions of comparisons, which aren't held back. Unlimited, it would be 400 records to four
-    // peers.
+    // Twice 1,500 bytes per second plus an initial burst of 16,384 bytes each. The remainder is for
+    // the small messages of comparisons, which are not limited. Without limits, 400 records would
+    // be sent to four peers.
     constexpr std::uint64_t kBudgetBytes = 2 * (15000 + 16384);
     constexpr std::uint64_t kComparisonBytes = 35000;
     CPPUNIT_ASSERT(BytesSentWithoutPages(cluster.Core(0)) - before <
@@ -180,7 +180,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{400}, cluster.Core(9).Records().RecordCount());
   }
 
-  // Nobody holds the states in between, so no patch may start from one.
+  // No other node holds the intermediate versions, so no patch may be based on one.
   void ChangesInABurstAreSentAsOneUpdate() {
     CoreCluster cluster(20, 10, 0);
     std::string value = RandomBytes(4000, 10);
@@ -200,7 +200,8 @@
     for (std::size_t index = 0; index < cluster.Size(); ++index) {
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, cluster.Core(index).Counters().patches_without_base);
     }
-    CPPUNIT_ASSERT(BytesSent(cluster) - before < 20 * 4000);  // less than the whole for each
+    CPPUNIT_ASSERT(BytesSent(cluster) - before <
+                   20 * 4000);  // less than a whole value for each node
   }
 
   void AssignedNodesUpdateNarrowPeersWhenAuthorIsBusy() {
@@ -218,7 +219,8 @@
     const std::uint64_t before = cluster.Core(0).Counters().messages_sent;
     cluster.Publish(0, kTable, 1, "table");
     cluster.Run(std::chrono::milliseconds(600));
-    // The author itself sends to few; comparisons take three seconds.
+    // The busy author sends to few peers itself. Comparisons run every three seconds, too late to
+    // deliver the record.
     CPPUNIT_ASSERT(cluster.Core(0).Counters().messages_sent - before < 40);
     CPPUNIT_ASSERT_EQUAL(std::size_t{50}, CountHolders(cluster, kTable, 1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cluster.Core(agent).Records().RecordCount());
--- a/libs/dissemination/tests/peer_directory_test.cpp
+++ b/libs/dissemination/tests/peer_directory_test.cpp
@@ -26,7 +26,8 @@
   CPPUNIT_TEST(NarrowNodeIsAssignedNoPeers);
   CPPUNIT_TEST_SUITE_END();
 
-  // Returns how many narrow peers the node feeds, counting each peer's assignment_counts.
+  // Returns how many narrow peers are assigned to the node, and increments the count of each such
+  // peer.
   static std::size_t CountAssigned(std::uint64_t self, std::uint64_t full_nodes,
                                    std::map<base::NodeId, int>& assignment_counts) {
     base::RandomSource random(self);
--- a/libs/machines/fuzz/machine_list_fuzzer.cpp
+++ b/libs/machines/fuzz/machine_list_fuzzer.cpp
@@ -1,4 +1,5 @@
-// Feeds the platform's answers to the parser; what was read must come back the same.
+// Passes arbitrary answers to the parser. A parsed list must be unchanged after formatting and
+// parsing it again.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
--- a/libs/machines/include/gaugevalve/machines/machine_list.h
+++ b/libs/machines/include/gaugevalve/machines/machine_list.h
@@ -1,4 +1,4 @@
-// The platform's list of live and leaving machines.
+// The platform's list of machines, live and leaving.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,14 @@
 
 namespace gaugevalve::machines {
 
-// What the platform says about a machine. It lags: a live one may be dead, a missing one be there.
+// The state of a machine as reported by the platform. The report may be out of date: a live machine
+// may be dead, and a running machine may be missing.
 enum class MachineState : std::uint8_t {
   kLive,
-  kLeaving,  // the platform will take it away; it should get no new work
+  kLeaving,  // the platform will remove it; it should get no new work
 };
 
-// What runs on a machine.
+// The node that runs on a machine.
 enum class MachineRole : std::uint8_t { kBalancer, kAgent };
 
 // One machine.
@@ -32,31 +33,31 @@
   friend bool operator==(const Machine&, const Machine&) = default;
 };
 
-// The list as of one version. Versions grow with each change.
+// One version of the list. The version number increases with each change.
 struct MachineList {
   std::uint64_t version = 0;
-  std::vector<Machine> machines;  // as listed; names are unique
+  std::vector<Machine> machines;  // in the order listed; names are unique
 
   friend bool operator==(const MachineList&, const MachineList&) = default;
 };
 
-// What could be read of a list, and what could not.
+// The machines that were parsed, and the errors found.
 struct ParsedMachineList {
   MachineList list;
   base::Findings findings;
 };
 
-// Reads the list's JSON:
+// Parses the list's JSON:
 //   {"version": 7, "machines": [{"name": "b1", "role": "balancer", "region": "r", "zone": "z",
 //                                "control_address": "10.0.0.1:7000", "state": "live"}]}
-// A machine with a fault is left out with a finding, and the others are kept: the list is a hint,
-// and most of one is better than none. Throws base::FindingsError when it is no such list at all.
-// At most kMachineLimit machines are read.
+// A machine with an error is skipped and reported as a finding, and the others are kept: the list
+// is only a hint, so a partial list is better than none. Throws base::FindingsError if the text is
+// not a machine list at all. At most kMachineLimit machines are accepted.
 ParsedMachineList ParseMachineList(std::string_view text);
 
 inline constexpr std::size_t kMachineLimit = 65'536;
 
-// Returns the JSON that ParseMachineList() reads.
+// Returns the list in the JSON format of ParseMachineList().
 std::string FormatMachineList(const MachineList& list);
 
 }  // namespace gaugevalve::machines
--- a/libs/machines/include/gaugevalve/machines/machine_list_client.h
+++ b/libs/machines/include/gaugevalve/machines/machine_list_client.h
@@ -1,4 +1,4 @@
-// Follows the platform's machine list over HTTP on an event loop.
+// Fetches the platform's machine list periodically over HTTP on an event loop.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,11 @@
 
 namespace gaugevalve::machines {
 
-// The shell of MachineListPoller. Not thread-safe: everything runs on the event loop's thread.
+// Runs MachineListPoller on an event loop. Not thread-safe: must only be used on the event loop's
+// thread.
 class MachineListClient final : private http_client::HttpExchangeObserver {
  public:
-  // Called on the event loop with each newer list and with what was wrong in it.
+  // Called on the event loop with each newer list and the errors found in it.
   using Callback = std::function<void(const ParsedMachineList&)>;
 
   // The path at which the platform serves the list.
@@ -28,7 +29,7 @@
                     const MachineListPollerSettings& settings, std::uint64_t seed,
                     Callback on_list);
 
-  // Returns how many fetches in a row have brought nothing readable.
+  // Returns how many consecutive fetches have failed or returned an unreadable list.
   std::uint64_t ConsecutiveFailures() const { return poller_.ConsecutiveFailures(); }
 
  private:
--- a/libs/machines/include/gaugevalve/machines/machine_list_poller.h
+++ b/libs/machines/include/gaugevalve/machines/machine_list_poller.h
@@ -1,4 +1,4 @@
-// Decides when the machine list is fetched and what a fetched one is worth.
+// Schedules fetches of the machine list and evaluates the answers.
 #pragma once
 
 #include <cstdint>
@@ -11,38 +11,39 @@
 
 namespace gaugevalve::machines {
 
-// How often the list is fetched.
+// Timing of the fetches.
 struct MachineListPollerSettings {
-  base::Duration period = std::chrono::seconds(30);  // drawn from [half, whole] of this
+  base::Duration period =
+      std::chrono::seconds(30);  // the time between fetches is drawn from [period / 2, period]
   base::Duration timeout = std::chrono::seconds(5);
 };
 
-// Pure core; not thread-safe. Fetches one at a time, spread over time so that the nodes of a
-// deployment don't ask together. After a failure it waits for the next period as after a success:
-// the list is a hint that nothing waits for.
+// Free of I/O; not thread-safe. Runs one fetch at a time, at random intervals so that the nodes of
+// a deployment do not all fetch at once. After a failure the next fetch follows at the normal
+// interval, because the list is a hint that nothing waits for.
 class MachineListPoller {
  public:
   MachineListPoller(const MachineListPollerSettings& settings, std::uint64_t seed);
 
-  // Returns true when a fetch is to be started now; it counts as running from then on.
+  // Returns true when a fetch must be started now; it counts as running from then on.
   bool StartIfDue(base::TimePoint now);
 
-  // Returns true when the running fetch has taken too long; it is to be cancelled and counts as
+  // Returns true when the running fetch has timed out. The caller must cancel it; it counts as
   // failed.
   bool ExpireIfDue(base::TimePoint now);
 
-  // Takes the whole answer to the running fetch. Returns the list when it is newer than the last
-  // one; nothing when it isn't, or can't be read.
+  // Handles the complete answer to the running fetch. Returns the list if it is newer than the last
+  // one, and nothing if it is not or cannot be parsed.
   std::optional<ParsedMachineList> OnAnswer(const http_client::HttpAnswer& answer,
                                             base::TimePoint now);
 
-  // The running fetch failed.
+  // Must be called when the running fetch has failed.
   void OnFailure(base::TimePoint now);
 
-  // Returns when StartIfDue() or ExpireIfDue() is next needed.
+  // Returns when StartIfDue() or ExpireIfDue() must be called next.
   base::TimePoint NextDue() const { return due_; }
 
-  // Returns how many fetches in a row have brought nothing readable.
+  // Returns how many consecutive fetches have failed or returned an unreadable list.
   std::uint64_t ConsecutiveFailures() const { return failures_; }
 
  private:
@@ -51,7 +52,7 @@
   MachineListPollerSettings settings_;
   base::RandomSource random_;
   bool running_ = false;
-  base::TimePoint due_{};  // start of the next fetch, or time-out of the running one
+  base::TimePoint due_{};  // start of the next fetch, or timeout of the running one
   std::optional<std::uint64_t> last_version_;
   std::uint64_t failures_ = 0;
 };
--- a/libs/machines/src/machine_list.cpp
+++ b/libs/machines/src/machine_list.cpp
@@ -12,13 +12,13 @@
 
 constexpr const char* kSource = "machine list";
 
-// Reads the fields of one machine and collects what is wrong with them.
+// Parses the fields of one machine and collects the errors in them.
 class MachineReader {
  public:
   MachineReader(const Json& json, std::string path, base::Findings& findings)
       : json_(json), path_(std::move(path)), findings_(findings) {}
 
-  // Returns the machine; nothing when a finding was added.
+  // Returns the machine, or nothing if a finding was added.
   std::optional<Machine> Read() {
     if (!json_.is_object()) {
       Report("", "is not an object");
@@ -39,7 +39,7 @@
     const auto field = json_.find(name);
     if (field == json_.end() || !field->is_string() ||
         field->get_ref<const std::string&>().empty()) {
-      Report(name, "must be a text that isn't empty");
+      Report(name, "must be a non-empty string");
       return "";
     }
     return field->get<std::string>();
@@ -64,7 +64,7 @@
                              ? base::SocketAddress::Parse(field->get<std::string>())
                              : std::nullopt;
     if (!address) {
-      Report(name, "must be an IP number with a port");
+      Report(name, "must be an IP address with a port");
     }
     return address.value_or(base::SocketAddress{});
   }
@@ -91,14 +91,14 @@
   }
   const auto version = json.find("version");
   if (version == json.end() || !version->is_number_unsigned()) {
-    ThrowFault("version", "must be a whole number from 0 up");
+    ThrowFault("version", "must be a non-negative integer");
   }
   const auto machines = json.find("machines");
   if (machines == json.end() || !machines->is_array()) {
-    ThrowFault("machines", "must be a list");
+    ThrowFault("machines", "must be an array");
   }
   if (machines->size() > kMachineLimit) {
-    ThrowFault("machines", "has over " + std::to_string(kMachineLimit) + " entries");
+    ThrowFault("machines", "has more than " + std::to_string(kMachineLimit) + " entries");
   }
   return json;
 }
@@ -118,7 +118,7 @@
       continue;
     }
     if (!names.insert(machine->name).second) {
-      parsed.findings.push_back({{kSource, 0, 0, path + ".name"}, "is listed before"});
+      parsed.findings.push_back({{kSource, 0, 0, path + ".name"}, "is listed more than once"});
       continue;
     }
     parsed.list.machines.push_back(*std::move(machine));
--- a/libs/machines/src/machine_list_poller.cpp
+++ b/libs/machines/src/machine_list_poller.cpp
@@ -48,7 +48,7 @@
   failures_ = 0;
   ScheduleNext(now);
   if (last_version_ && parsed->list.version <= *last_version_) {
-    return std::nullopt;  // nothing new, or an older copy from another of the platform's servers
+    return std::nullopt;  // unchanged, or an older copy from another platform server
   }
   last_version_ = parsed->list.version;
   return parsed;
--- a/libs/machines/tests/machine_list_test.cpp
+++ b/libs/machines/tests/machine_list_test.cpp
@@ -36,8 +36,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, parsed.list.machines.size());
     CPPUNIT_ASSERT_EQUAL(
         std::string("machine list: machines[0].role: must be balancer or agent\n"
-                    "machine list: machines[0].control_address: must be an IP number with a port\n"
-                    "machine list: machines[2].name: is listed before\n"),
+                    "machine list: machines[0].control_address: must be an IP address with a port\n"
+                    "machine list: machines[2].name: is listed more than once\n"),
         base::FormatFindings(parsed.findings));
   }
 
--- a/libs/membership/include/gaugevalve/membership/membership.h
+++ b/libs/membership/include/gaugevalve/membership/membership.h
@@ -1,10 +1,11 @@
-// The membership core: who is there, found out by the nodes themselves.
+// The membership core: decentralised failure detection and a replicated list of members.
 //
 // SWIM (Das, Gupta, Motivala 2002) with the local health awareness and confirmed suspicions of
-// Lifeguard (Dadgar et al. 2018), and with fixed observers on hash rings, as in Rapid (Suresh et
-// al. 2018), in place of random ones: every member has known observers, and connections last.
+// Lifeguard (Dadgar et al. 2018). As in Rapid (Suresh et al. 2018), each member is probed by fixed
+// observers on hash rings instead of random ones, so every member has known observers and
+// connections are reused.
 //
-// A decision core: no socket, clock or thread inside. MembershipRunner drives it.
+// The core is free of I/O: it has no socket, clock or thread. MembershipRunner drives it.
 #pragma once
 
 #include <cstddef>
@@ -22,20 +23,20 @@
 
 namespace gaugevalve::membership {
 
-// What the core has counted since it was made.
+// Event counts since construction.
 struct MembershipCounters {
   std::uint64_t probes_started = 0;
   std::uint64_t probes_failed = 0;
   std::uint64_t indirect_probes = 0;
-  std::uint64_t suspicions_started = 0;  // by this node's own probes
-  std::uint64_t refutations = 0;         // of suspicions of this node
+  std::uint64_t suspicions_started = 0;  // after failed probes of this node
+  std::uint64_t refutations = 0;         // refutations that this node issued for itself
   std::uint64_t malformed_messages = 0;
-  std::uint64_t members_refused = 0;  // the table was full
+  std::uint64_t members_refused = 0;  // rejected because the table was full
   std::uint64_t pages_served = 0;
-  std::uint64_t pages_refused = 0;  // over pages_per_second
+  std::uint64_t pages_refused = 0;  // rejected by the rate limit or for lack of byte budget
 };
 
-// Not thread-safe. Calls take the time on one monotonic clock and append to `actions`.
+// Not thread-safe. All calls take the time from the same monotonic clock and append to `actions`.
 class Membership {
  public:
   // `node` and `metadata` describe this node; `metadata.life` is its first incarnation. Throws
@@ -46,35 +47,39 @@
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // Starts, and joins by the seeds. Called once, first.
+  // Starts the core and joins the group through the seeds. Must be called exactly once, before any
+  // other call.
   void Start(base::TimePoint now, MembershipActions& actions);
 
-  // Takes a payload of MessageKind::kMembership.
+  // Handles a payload of MessageKind::kMembership.
   void OnMessage(const transport::SenderIdentity& sender, std::string_view payload,
                  base::TimePoint now, MembershipActions& actions);
 
-  // Does what is due; to be called at NextWakeUp(), early calls are harmless.
+  // Performs the work that is due. Call it at NextWakeUp(); earlier calls are harmless.
   void OnTick(base::TimePoint now, MembershipActions& actions);
   base::TimePoint NextWakeUp() const;
 
-  // Changes what this node says about itself; `life` is kept. Throws as the constructor does.
+  // Replaces the metadata of this node, except for `life`, which is kept. Throws as the constructor
+  // does.
   void UpdateMetadata(const MemberMetadata& metadata, base::TimePoint now,
                       MembershipActions& actions);
 
-  // Tells others that this node leaves. The node should go on ticking for a second, then end.
+  // Announces that this node leaves. The owner should keep ticking for one second so that the
+  // announcement spreads, then stop.
   void Leave(base::TimePoint now, MembershipActions& actions);
 
-  // Takes in members known from elsewhere, without events: a shortcut for hollow nodes and tests.
+  // Adds known members without raising events. Used by simulated nodes and tests to skip the join.
   void Preload(std::span<const Member> members);
 
   const Member& Self() const;
-  // Returns whether the state of the group was received (or none was there to join).
+  // Returns whether this node has received the state of the group, or had no group to join.
   bool IsJoined() const;
-  // Returns the member; nothing when it is unknown or forgotten.
+  // Returns the member, or nothing when it is unknown or was pruned.
   std::optional<Member> Find(base::NodeId node) const;
-  // Calls `visit` for each member known, dead ones too, this node as well, by rising identifier.
+  // Calls `visit` for each known member in ascending order of identifier, including dead members
+  // and this node.
   void ForEach(const std::function<void(const Member&)>& visit) const;
-  // Number of members that count as there, with this node.
+  // Returns the number of live members, including this node.
   std::size_t LiveCount() const;
   std::size_t PendingUpdates() const;
   const MembershipCounters& Counters() const;
--- a/libs/membership/include/gaugevalve/membership/membership_actions.h
+++ b/libs/membership/include/gaugevalve/membership/membership_actions.h
@@ -1,4 +1,4 @@
-// What the membership core asks its owner to do.
+// The actions that the membership core requests from its owner.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 namespace gaugevalve::membership {
 
-// What happened to a member.
+// The kind of change that an event reports.
 enum class EventKind : std::uint8_t {
   kJoined,     // was unknown, dead or left before
-  kRestarted,  // a new life of a member that counted as there
-  kChanged,    // other metadata in the same life
+  kRestarted,  // a new process of a member that counted as live
+  kChanged,    // new metadata from the same process
   kSuspected,
   kRecovered,  // refuted the suspicion
   kFailed,     // declared dead
   kLeft,
-  // About this node itself:
-  kSelfPaused,        // stood still for `pause`; what it knew may be old
-  kSelfDeclaredDead,  // others took it for dead, and may have given its work away
-  kSelfSuperseded,    // a newer process has this node's identity; this one must end
+  // Events about this node itself:
+  kSelfPaused,        // did not run for `pause`; its view may be out of date
+  kSelfDeclaredDead,  // others declared it dead and may have reassigned its work
+  kSelfSuperseded,    // a newer process uses this node's identity; this one must exit
 };
 
 // Returns the event's name in logs, such as "member_joined".
@@ -31,17 +31,18 @@
 
 struct MembershipEvent {
   EventKind kind = EventKind::kJoined;
-  Member member;            // as it is after the event
-  base::Duration pause{0};  // of kSelfPaused
+  Member member;            // state after the event
+  base::Duration pause{0};  // set for kSelfPaused
 };
 
-// A message for a node's control address; a payload of transport::MessageKind::kMembership.
+// A message to the control address of a node; the payload is of
+// transport::MessageKind::kMembership.
 struct OutgoingMessage {
   base::SocketAddress destination;
   std::string payload;
 };
 
-// Appended to by each call of the core, in the order in which they are to be done.
+// Each call of the core appends to these lists. The owner must perform them in order.
 struct MembershipActions {
   std::vector<OutgoingMessage> messages;
   std::vector<MembershipEvent> events;
--- a/libs/membership/include/gaugevalve/membership/membership_runner.h
+++ b/libs/membership/include/gaugevalve/membership/membership_runner.h
@@ -1,4 +1,4 @@
-// Joins a membership core to a transport.
+// Connects a membership core to a transport.
 #pragma once
 
 #include <functional>
@@ -9,15 +9,16 @@
 
 namespace gaugevalve::membership {
 
-// Passes messages both ways and events to the owner. Whoever runs the loop calls Tick() at the time
-// that NextWakeUp() names. Belongs to one task.
+// Passes messages between the core and the transport and delivers events to the owner. The owner's
+// event loop must call Tick() at the time that NextWakeUp() returns. Not thread-safe.
 class MembershipRunner {
  public:
-  // Called with each event, after the core's state has changed. It may read the core through
-  // Core(); what changes it (Leave, UpdateMetadata) must wait until the listener has returned.
+  // Called with each event, after the core's state has changed. The listener may read the core
+  // through Core(), but must not call Leave() or UpdateMetadata() before it returns.
   using Listener = std::function<void(const MembershipEvent&)>;
 
-  // All arguments must outlive the runner. Takes the transport's membership messages.
+  // All arguments must outlive the runner. Registers itself as the transport's receiver of
+  // membership messages.
   MembershipRunner(Membership& core, transport::PeerTransport& transport, const base::Clock& clock,
                    Listener listener);
   ~MembershipRunner();
--- a/libs/membership/include/gaugevalve/membership_simulation/hollow_group.h
+++ b/libs/membership/include/gaugevalve/membership_simulation/hollow_group.h
@@ -1,4 +1,4 @@
-// A group of hollow members spread over the zones of a simulation.
+// A group of simulated members distributed over the zones of a simulation.
 #pragma once
 
 #include <cstddef>
@@ -14,14 +14,14 @@
 
 struct HollowGroupSettings {
   std::size_t members = 0;
-  membership::MembershipOptions options;  // without seeds: the first of each zone are added
-  // Whether all members know each other from the start, or join by the seeds.
+  membership::MembershipOptions options;  // seeds are added: the first member of each zone
+  // If true, all members know each other from the start; otherwise they join through the seeds.
   bool is_preloaded = true;
   std::function<void(simulation::NodeIndex, const membership::MembershipEvent&)> listener;
 };
 
-// Adds members to a simulator, zone by zone in turn, and starts and ends their lives. Knows the
-// truth that the members' views must reach.
+// Adds members to a simulator, assigned to the zones in round-robin order, and starts and stops
+// them. Knows the expected view, so it can check whether the members' views are correct.
 class HollowGroup {
  public:
   // `simulator` must outlive the group.
@@ -33,20 +33,21 @@
   simulation::ZoneIndex Zone(std::size_t member) const;
   bool IsRunning(std::size_t member) const;
 
-  // Returns the present life; the member must not be dead.
+  // Returns the current process of the member. The member must not be dead.
   HollowMember& Life(std::size_t member);
   const HollowMember& Life(std::size_t member) const;
 
   void Kill(std::size_t member);
-  // Starts a new life that knows only the seeds; its wall clock is slow by `clock_error`.
+  // Starts a new process that knows only the seeds. Its wall clock lags by `clock_error`.
   void Restart(std::size_t member, base::Duration clock_error = base::Duration(0));
-  // Says farewell; Kill() follows when the caller likes.
+  // Announces that the member leaves. The caller decides when to call Kill().
   void Leave(std::size_t member);
 
-  // Returns whether the view of `observer` is the truth: exactly the running members are live, each
-  // at the incarnation and metadata it has now. `difference` (may be null) says what isn't so.
+  // Returns whether the view of `observer` is correct: exactly the running members are live, each
+  // with its current incarnation and metadata. Describes the first mismatch in `difference`, which
+  // may be null.
   bool HasCorrectView(std::size_t observer, std::string* difference) const;
-  // Returns whether all running members have a true view.
+  // Returns whether all running members have a correct view.
   bool HasConverged(std::string* difference = nullptr) const;
 
  private:
--- a/libs/membership/include/gaugevalve/membership_simulation/hollow_member.h
+++ b/libs/membership/include/gaugevalve/membership_simulation/hollow_member.h
@@ -1,4 +1,4 @@
-// A node of the simulation that runs the real membership core and nothing else.
+// A simulated node that runs the real membership core and nothing else.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,20 @@
 
 namespace gaugevalve::membership_simulation {
 
-// One life of a hollow member.
+// Settings of one process of a simulated member.
 struct HollowMemberSettings {
   base::NodeId node;
-  membership::MemberMetadata metadata;  // `life` is the incarnation of this life
+  membership::MemberMetadata metadata;  // `life` is the incarnation of this process
   membership::MembershipOptions options;
   std::uint64_t seed = 0;
-  // Members known from the start; may be null. Shared, as thousands of nodes start with the same.
+  // Members known from the start; may be null. Shared because thousands of nodes start with the
+  // same list.
   std::shared_ptr<const std::vector<membership::Member>> preload;
   // Called with each event of the core; may be empty.
   std::function<void(simulation::NodeIndex, const membership::MembershipEvent&)> listener;
 };
 
-// Real core, real encoding, simulated clock and network.
+// Runs the real core and message encoding on a simulated clock and network.
 class HollowMember final : public simulation::SimulatedNode {
  public:
   explicit HollowMember(HollowMemberSettings settings);
@@ -47,7 +48,7 @@
   std::unique_ptr<simulation::SimulatedTransport> transport_;
   std::unique_ptr<membership::Membership> core_;
   std::unique_ptr<membership::MembershipRunner> runner_;
-  simulation::TimerToken armed_token_ = 0;  // earlier timers are stale
+  simulation::TimerToken armed_token_ = 0;  // timers with an earlier token are ignored
   base::TimePoint armed_at_{};
 };
 
--- a/libs/membership/src/change_events.h
+++ b/libs/membership/src/change_events.h
@@ -1,4 +1,4 @@
-// What a change of a member means to the owner.
+// Derives events from changes of a member.
 #pragma once
 
 #include <optional>
@@ -9,8 +9,8 @@
 
 namespace gaugevalve::membership {
 
-// Returns the events of a change to `member` as it is now, in order; `previous` is nothing when it
-// was unknown.
+// Returns, in order, the events of a change that resulted in `member`. `previous` is empty when the
+// member was unknown.
 std::vector<EventKind> EventsOfChange(const Member& member,
                                       const std::optional<PreviousState>& previous);
 
--- a/libs/membership/src/failure_detector.h
+++ b/libs/membership/src/failure_detector.h
@@ -1,4 +1,4 @@
-// Probes of the members this node watches, and help with the probes of others.
+// Probes the members that this node observes and relays probes for other nodes.
 #pragma once
 
 #include <cstddef>
@@ -17,11 +17,11 @@
 
 namespace gaugevalve::membership {
 
-// SWIM's probe: a ping, then pings through relays, then the expired that the member is suspect. A
-// ping names its target, so a successor at a recycled address doesn't answer for it.
+// The SWIM probe: a direct ping, then pings through relays, then suspicion. A ping names its
+// target, so a different node that reuses the address does not acknowledge it.
 class FailureDetector {
  public:
-  // Called with a member that answered neither the ping nor a relay's.
+  // Called with a member that acknowledged neither the direct ping nor a relayed one.
   using FailureListener = std::function<void(const Member&)>;
 
   FailureDetector(base::NodeId self, const MembershipOptions& options, const MemberTable& table,
@@ -29,16 +29,18 @@
                   Outbox& outbox, LocalHealth& health, MembershipCounters& counters,
                   FailureListener listener);
 
-  // Sets when the first probe is due.
+  // Sets the time of the first probe.
   void Start(base::TimePoint first_probe) { next_probe_at_ = first_probe; }
 
-  // Notes that what is known of a member has changed.
+  // Must be called whenever the record of a member changes.
   void OnMemberChanged(const Member& member);
 
-  // Probes a newly suspected member at once if this node watches it, to confirm or to clear.
+  // Probes a newly suspected member at once if it is one of this node's targets, to confirm or
+  // refute the suspicion.
   void OnSuspected(const Member& member, base::TimePoint now);
 
-  // Gives up all that runs: answers may have been missed.
+  // Cancels all running probes after a pause of this node, because acknowledgements may have been
+  // missed.
   void OnPause(base::TimePoint now);
 
   void OnPing(const transport::SenderIdentity& sender, const proto::Ping& ping);
@@ -47,23 +49,24 @@
   void OnAck(const proto::Ack& ack);
   void OnNack(const proto::Nack& nack);
 
-  // Sends a ping whose answer decides nothing: to a member taken for dead.
+  // Pings a member that is believed dead. The result does not affect its state; the ping gives the
+  // member the chance to refute its death.
   void PingForReconnect(const Member& member);
 
   void OnTick(base::TimePoint now);
   base::TimePoint NextWakeUp() const;
 
  private:
-  // A probe of this node's own.
+  // A probe started by this node.
   struct Probe {
     base::NodeId target;
     base::TimePoint relay_at;
     base::TimePoint fail_at;
     bool is_relayed = false;
-    bool received_nack = false;  // one said that it has no answer either
+    bool received_nack = false;  // a relay reported that it got no acknowledgement either
   };
 
-  // A ping sent for another node.
+  // A ping sent on behalf of another node.
   struct Relay {
     base::NodeId target;
     base::SocketAddress requester;
@@ -71,7 +74,7 @@
     base::TimePoint expires_at;
   };
 
-  // Most of each kept at a time; beyond, no new ones are started.
+  // Maximum number of concurrent entries; further probes and relay requests are dropped.
   static constexpr std::size_t kMaximumProbes = 32;
   static constexpr std::size_t kMaximumRelays = 64;
 
@@ -92,8 +95,8 @@
   MembershipCounters& counters_;
   FailureListener listener_;
   ProbeRings rings_;
-  absl::btree_map<std::uint32_t, Probe> probes_;  // by sequence
-  absl::btree_map<std::uint32_t, Relay> relays_;  // by sequence
+  absl::btree_map<std::uint32_t, Probe> probes_;  // by sequence number
+  absl::btree_map<std::uint32_t, Relay> relays_;  // by sequence number
   std::uint32_t last_sequence_ = 0;
   base::TimePoint next_probe_at_{};
 };
--- a/libs/membership/src/fingerprint_index.h
+++ b/libs/membership/src/fingerprint_index.h
@@ -1,4 +1,4 @@
-// Short names for versions of members, to say in four bytes what a record says in twenty.
+// Four-byte fingerprints of member versions, used in place of records of about twenty bytes.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,14 @@
 
 using Fingerprint = std::uint32_t;
 
-// Finds members by fingerprint. Where two members of the table fraction one (one pair in 400 tables
-// of 4,460 members), neither is found by it, and senders use whole records. A member unknown here
-// may still be mistaken for a known one, once in a million such updates; that one then refutes.
+// Finds members by fingerprint. If two members of the table have the same fingerprint (about one
+// pair in 400 tables of 4,460 members), neither is found by it and senders use whole records. An
+// update about a member that is unknown here matches a known one by mistake with a probability of
+// one in a million; the affected member then refutes it.
 class FingerprintIndex {
  public:
-  // Returns the fingerprint of a node at an incarnation, with its metadata as of a version: a node
-  // that hasn't that metadata must not take a refutation for it.
+  // Returns the fingerprint of a node at an incarnation and metadata version. The metadata version
+  // is included so that a node with other metadata does not apply the refutation.
   static Fingerprint Of(base::NodeId node, base::Incarnation incarnation,
                         base::Incarnation metadata_version);
   static Fingerprint Of(const Member& member) {
@@ -25,7 +26,7 @@
   }
 
   void Add(const Member& member);
-  // Removes what Add() added. A shared fingerprint stays unusable.
+  // Removes a member that was added. A fingerprint shared by two members stays unusable.
   void Remove(const Member& member);
 
   std::optional<base::NodeId> Find(Fingerprint fingerprint) const;
--- a/libs/membership/src/gossip_peers.h
+++ b/libs/membership/src/gossip_peers.h
@@ -1,4 +1,4 @@
-// The members a node sends updates to.
+// The members to which a node gossips updates.
 #pragma once
 
 #include <vector>
@@ -10,15 +10,16 @@
 
 namespace gaugevalve::membership {
 
-// A few random members that stay for minutes: with a new one for each message, opening connections
-// would cost more than the updates. One is replaced now and then, so no set is stuck for ever.
+// A small set of random members that is kept for minutes: a new random peer per message would spend
+// more bytes on opening connections than on updates. One peer is replaced periodically, so that the
+// set changes over time.
 class GossipPeers {
  public:
   GossipPeers(const MembershipOptions& options, const MemberTable& table,
               const PeerSelector& selector, base::RandomSource& random)
       : options_(options), table_(table), selector_(selector), random_(random) {}
 
-  // Returns up to `count` different live members, in random order.
+  // Returns up to `count` distinct live members in random order.
   std::vector<const Member*> Choose(std::size_t count, base::TimePoint now);
 
  private:
--- a/libs/membership/src/group_summary.h
+++ b/libs/membership/src/group_summary.h
@@ -1,4 +1,4 @@
-// One message's word on many members of a group, and its codec.
+// Encodes the state of many members of a group in one message part.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace gaugevalve::membership {
 
-// Which members of a group are in one state after the same number of refutations.
+// Identifies the members of a group that have the same state and the same number of refutations.
 struct SummaryKey {
   GroupKey group = 0;
   std::uint64_t refutations = 0;
@@ -19,16 +19,16 @@
   friend auto operator<=>(const SummaryKey&, const SummaryKey&) = default;
 };
 
-// Returns what a summary that speaks of this member is about.
+// Returns the key of the summary that covers this member.
 SummaryKey SummaryOf(const Member& member);
 
-// Encodes which of the group's members `key` holds for; returns how many they are.
+// Encodes which members of the group match `key`. Returns their number.
 std::size_t EncodeSummary(const MemberTable& table, const SummaryKey& key,
                           proto::GroupSummary& summary);
 
-// Returns the records that a summary stands for and that may be piggybacked_bytes. Nothing when
-// this node knows other members in the group, or other metadata, than the sender did: then
-// positions mean something else. `trust_any_base` is a deliberate fault, see InjectedFaults.
+// Returns the records in a summary that are newer than the table. Returns none when this node's
+// group has other members or metadata versions than the sender's, because then positions refer to
+// other members. `trust_any_base` injects a fault; see InjectedFaults.
 std::vector<MemberRecord> DecodeSummary(const MemberTable& table,
                                         const proto::GroupSummary& summary, bool trust_any_base);
 
--- a/libs/membership/src/local_health.h
+++ b/libs/membership/src/local_health.h
@@ -1,4 +1,4 @@
-// How far this node trusts its own judgement of others.
+// Estimates how reliable this node's own observations are.
 #pragma once
 
 #include <algorithm>
@@ -7,16 +7,16 @@
 
 namespace gaugevalve::membership {
 
-// Lifeguard's local health multiplier: a node that is slow or cut off itself sees signs of it
-// (probes fail while relays don't even say no, others suspect it), and gives others more time.
+// Lifeguard's local health multiplier. A node that is slow or isolated sees probes fail without a
+// nack from a relay, or is suspected by others. It then uses longer timeouts for other members.
 class LocalHealth {
  public:
   void RecordSuccess() { score_ = std::max(score_ - 1, 0); }
   void RecordFailure() { score_ = std::min(score_ + 1, kMaximumScore); }
-  // After a pause nothing this node believes is fresh.
+  // After a pause nothing in this node's view is current.
   void RecordPause() { score_ = kMaximumScore; }
 
-  // Returns the timeout stretched by the score, up to (1 + kMaximumScore) times.
+  // Returns the timeout multiplied by (1 + score), at most by (1 + kMaximumScore).
   base::Duration ScaleTimeout(base::Duration timeout) const { return timeout * (1 + score_); }
 
  private:
--- a/libs/membership/src/member_groups.h
+++ b/libs/membership/src/member_groups.h
@@ -1,4 +1,4 @@
-// Members of one zone in small groups, so that the fate of a whole group fits into a few bytes.
+// Partitions the members of a zone into small groups, whose states fit into a few bytes.
 #pragma once
 
 #include <cstddef>
@@ -12,27 +12,28 @@
 
 using GroupKey = std::uint32_t;
 
-// Members of one group as two nodes know them alike: position i stands for the same member at the
-// same metadata version on every node whose `base` is the same.
+// A group of members. On every node with the same `base`, position i refers to the same member at
+// the same metadata version.
 struct MemberGroup {
-  std::uint32_t base = 0;             // exclusive or of hashes of (node, metadata version)
-  std::vector<base::NodeId> members;  // by rising identifier
+  std::uint32_t base = 0;             // exclusive or of the hashes of (node, metadata version)
+  std::vector<base::NodeId> members;  // in ascending order of identifier
 };
 
-// Divides the members of each zone into kSlices groups by identifier (320 members each at 7 zones
-// and 4,460 members). Members that left aren't counted. Not thread-safe.
+// Partitions the members of each zone into kSlices groups by identifier (about 320 members per
+// group with 7 zones and 4,460 members). Members that left are excluded. Not thread-safe.
 class MemberGroups {
  public:
   static constexpr std::uint64_t kSlices = 2;
 
-  // Returns the group a member belongs to; two groups that fraction a key are one on every node.
+  // Returns the key of the member's group. Two groups whose keys collide form one group on every
+  // node.
   static GroupKey KeyOf(const Member& member);
 
   void Add(const Member& member);
-  // Removes what Add() added.
+  // Removes a member that was added, with the same state and versions.
   void Remove(const Member& member);
 
-  // Returns the group; null when it has no members. Valid until the next change.
+  // Returns the group, or null when it has no members. The pointer is valid until the next change.
   const MemberGroup* Find(GroupKey key) const;
 
  private:
--- a/libs/membership/src/member_record.cpp
+++ b/libs/membership/src/member_record.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kIpv4Bytes = 4;
 constexpr std::size_t kIpv6Bytes = 16;
-// A release that doesn't say what it understands is the first.
+// The first release does not send its settings schema.
 constexpr std::uint32_t kFirstSettingsSchema = 1;
 
 void EncodeMetadata(const MemberMetadata& metadata, proto::Metadata& encoded) {
--- a/libs/membership/src/member_record.h
+++ b/libs/membership/src/member_record.h
@@ -1,4 +1,4 @@
-// What one message says about one member, and its codec.
+// The record about one member in a message, and its codec.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace gaugevalve::membership {
 
-// The low half of a node's identifier: enough to tell the few accusers of one member apart.
+// Lower 32 bits of a node's identifier: enough to distinguish the few accusers of one member.
 using AccuserTag = std::uint32_t;
 
 AccuserTag MakeAccuserTag(base::NodeId node);
@@ -20,21 +20,21 @@
   base::Incarnation incarnation;
   base::Incarnation metadata_version;
   MemberState state = MemberState::kAlive;
-  std::shared_ptr<const MemberMetadata> metadata;  // null when the message left it out
+  std::shared_ptr<const MemberMetadata> metadata;  // null when the message omits it
   AccuserTag accuser = 0;
 };
 
-// Whether a record is sent with its metadata.
+// How much of a record is sent.
 enum class RecordDetail : std::uint8_t {
-  kState,   // without
-  kUpdate,  // only when the receivers can't have it yet: a new life, or a change
+  kState,   // without metadata
+  kUpdate,  // metadata only if receivers cannot have it yet: a new process or changed metadata
   kFull,
 };
 
 void EncodeRecord(const Member& member, RecordDetail detail, AccuserTag accuser,
                   proto::MemberRecord& record);
 
-// Returns the record; nothing when it is malformed.
+// Returns the record, or nothing when it is malformed.
 std::optional<MemberRecord> DecodeRecord(const proto::MemberRecord& record);
 
 void EncodeAddress(const base::SocketAddress& address, proto::Address& encoded);
--- a/libs/membership/src/member_table.h
+++ b/libs/membership/src/member_table.h
@@ -1,4 +1,4 @@
-// The members one node knows, and the rules by which piggybacked_bytes about them is taken in.
+// The members known to one node, and the rules for merging records.
 #pragma once
 
 #include <cstddef>
@@ -14,16 +14,16 @@
 
 namespace gaugevalve::membership {
 
-// What Merge() did with a record.
+// Outcome of Merge().
 enum class MergeOutcome : std::uint8_t {
-  kIgnored,        // older than what is known, or about nobody known
-  kSame,           // exactly what is known
-  kNeedsMetadata,  // newer, but of no use without metadata; nothing changed
+  kIgnored,        // older than the known record, or a death of an unknown member
+  kSame,           // equal to the known record
+  kNeedsMetadata,  // newer, but unusable without metadata; nothing changed
   kRefused,        // the table is full of live members; nothing changed
   kChanged,
 };
 
-// What was known before a change.
+// The record of a member before a change.
 struct PreviousState {
   MemberState state = MemberState::kAlive;
   base::Incarnation incarnation;
@@ -33,27 +33,27 @@
 
 struct MergeResult {
   MergeOutcome outcome = MergeOutcome::kIgnored;
-  std::optional<PreviousState> previous;  // of kChanged; nothing when it was unknown
+  std::optional<PreviousState> previous;  // set for kChanged, unless the member was unknown
 };
 
-// Holds up to `maximum_members`, this node among them. When it is full, the member dead for longest
-// makes room; with none dead a new one is refused. Not thread-safe.
+// Holds up to `maximum_members`, including this node. If the table is full, a new member evicts the
+// one that has been dead longest; if none is dead, the new member is rejected. Not thread-safe.
 class MemberTable {
  public:
   using Map = absl::btree_map<base::NodeId, Member>;
 
   explicit MemberTable(std::size_t maximum_members) : maximum_members_(maximum_members) {}
 
-  // Takes in a record if it is newer: by incarnation, then by state.
+  // Applies a record if it is newer, ordered by incarnation and then by state.
   MergeResult Merge(const MemberRecord& record, base::TimePoint now);
 
-  // As Merge(), but takes in older ones too: a deliberate fault, see InjectedFaults.
+  // Like Merge(), but also applies older records. An injected fault; see InjectedFaults.
   MergeResult MergeWithoutOrder(const MemberRecord& record, base::TimePoint now);
 
-  // Sets a member whatever is known; for this node itself, and for preloading.
+  // Sets a member unconditionally. Used for this node itself and for preloading.
   void Put(const Member& member);
 
-  // Forgets members dead or left since before `before`.
+  // Removes members that have been dead or have left since before `before`.
   void PruneDead(base::TimePoint before);
 
   const Member* Find(base::NodeId node) const;
@@ -68,7 +68,8 @@
   MergeResult Add(const MemberRecord& record, base::TimePoint now);
   MergeResult Change(Member& member, const MemberRecord& record, base::TimePoint now);
   bool EvictOldestDead();
-  // Keeps count, digest, fingerprints and groups: each change of a member is between the two.
+  // Maintain the live count, digest, fingerprints and groups. Every change of a member must be
+  // enclosed by the two calls.
   void RemoveFromIndexes(const Member& member);
   void AddToIndexes(const Member& member);
 
--- a/libs/membership/src/membership_core.cpp
+++ b/libs/membership/src/membership_core.cpp
@@ -7,10 +7,10 @@
 namespace gaugevalve::membership {
 namespace {
 
-// The longest time between two ticks; bounds how long a pause can go unnoticed.
+// The longest time between two ticks; bounds how long a pause can go undetected.
 constexpr base::Duration kMaximumTickInterval = std::chrono::milliseconds(500);
 constexpr base::Duration kPruneInterval = std::chrono::seconds(10);
-// For this long after a dead member answered, others are tried faster.
+// For this long after a dead member has answered, dead members are pinged at the fast interval.
 constexpr base::Duration kFastHealPeriod = std::chrono::seconds(30);
 
 void RequireShortNames(const MemberMetadata& metadata) {
@@ -218,7 +218,7 @@
       exchange_.OnRecordRequest(sender, message.record_request());
       return;
     case proto::MembershipMessage::BODY_NOT_SET:
-      return;  // updates alone, or a kind of a later release
+      return;  // updates only, or a message kind of a later release
   }
 }
 
--- a/libs/membership/src/membership_core.h
+++ b/libs/membership/src/membership_core.h
@@ -1,5 +1,4 @@
-// The membership core behind membership.h: its state, and the way of each message through its
-// parts.
+// The implementation behind membership.h: its state and the dispatch of messages to its parts.
 #pragma once
 
 #include "failure_detector.h"
@@ -17,9 +16,10 @@
 
 namespace gaugevalve::membership {
 
-// Merges what comes in into the table, and hands it on: changes to the queue and as events, probes
-// to the detector, whole views to the exchange. Calls, ticks and dispatch are in
-// membership_core.cpp, what is done with records in membership_records.cpp.
+// Merges received records into the table and passes changes to the update queue and to the owner as
+// events. Probe messages go to the failure detector, messages about whole views to the state
+// exchange. Calls, ticks and dispatch are in membership_core.cpp, the handling of records is in
+// membership_records.cpp.
 class Membership::Implementation {
  public:
   Implementation(base::NodeId node, const MemberMetadata& metadata, MembershipOptions options,
@@ -52,57 +52,63 @@
 
   void EmitEvent(EventKind kind, const Member& member, base::Duration pause = {});
 
-  // A node that stood still missed answers and refutations: it starts its judgements anew.
+  // Detects that this node did not run for a while. It has missed acknowledgements and refutations,
+  // so it restarts its probes and postpones its suspicions.
   void DetectPause();
 
   void ApplyUpdates(const proto::MembershipMessage& message);
 
-  // Takes a death at the incarnation known here, or a refutation: alive at the next one. One that
-  // is about an incarnation unknown here is left to the comparison of digests.
+  // Applies a fingerprint update: a death at the incarnation known here, or a refutation, which
+  // means alive at the next incarnation. Updates for an incarnation that is unknown here are left
+  // to the digest comparison.
   void ApplyFingerprint(Fingerprint fingerprint, MemberState state);
 
   void ApplyRecord(const MemberRecord& record);
 
-  // What others say about this node. Only a higher incarnation of its own ends a wrong belief.
+  // Handles a record about this node. A wrong one is refuted by raising this node's incarnation.
   void ApplyOwnRecord(const MemberRecord& record);
 
   void Refute(const MemberRecord& record);
 
-  // A death may be heard of after it was refuted together with the suspicion before it.
+  // Raises kSelfDeclaredDead. The death may arrive after this node has already refuted it together
+  // with the preceding suspicion, so the record's incarnation can be older than the current one.
   void ReportOwnDeath(const MemberRecord& record);
 
   void PublishSelf();
 
   void ConfirmSuspicion(const MemberRecord& record);
 
-  // Passes piggybacked_bytes on. When there is very much of it, as at the loss of a zone,
-  // suspicions by others are left out: verdicts matter more, and come without confirmation too,
-  // only later.
+  // Queues a change for gossip. While many updates are queued, as after the loss of a zone,
+  // suspicions by other nodes are not passed on: deaths matter more, and without confirmations a
+  // member is still declared dead, only later.
   void QueueChange(const Member& member, AccuserTag accuser);
 
   void AfterChange(base::NodeId node, const std::optional<PreviousState>& previous,
                    AccuserTag accuser);
 
-  // Tells a member that was taken for dead of it: its refutation may have been of the suspicion
-  // alone, and travels faster. A few of the many that saw it are enough.
+  // Notifies a member that was declared dead of its death. The member may have refuted only the
+  // suspicion, and its refutation may have overtaken the death. Only a random few of the observers
+  // send this notice.
   void NotifyOfDeath(const Member& member, const PreviousState& previous);
 
   SuspicionLimits CurrentSuspicionLimits() const;
 
-  // This node's own probe of the member failed.
+  // Starts a suspicion after a failed probe of this node.
   void Suspect(const Member& member);
 
   void ExpireSuspicions();
 
-  // Asks a sender who it is, or tells it what it should know about itself: the latter not in answer
-  // to mere updates, or two nodes that took each other for gone would go on for ever.
+  // Requests the record of a sender that is unknown or has a newer incarnation. Otherwise sends the
+  // sender this node's record about it if that record is newer or not alive. The latter is done
+  // only if `may_answer`: if plain updates were answered too, two nodes that believe each other
+  // dead would reply to each other endlessly.
   void CheckSender(const transport::SenderIdentity& sender, bool may_answer);
 
   void Dispatch(const transport::SenderIdentity& sender, const proto::MembershipMessage& message);
 
   void Gossip();
 
-  // Tries a member taken for dead: after a split the two sides find each other again.
+  // Pings a random dead member, so that the two sides of a partition find each other again.
   void ProbeDeadMember();
 
   void PruneDead();
@@ -122,7 +128,7 @@
   StateExchange exchange_;
   GossipPeers gossip_peers_;
 
-  base::TimePoint now_{};  // of the present call
+  base::TimePoint now_{};  // of the current call
   MembershipActions* actions_ = nullptr;
   base::TimePoint last_tick_at_{};
   base::TimePoint next_gossip_at_{};
--- a/libs/membership/src/membership_records.cpp
+++ b/libs/membership/src/membership_records.cpp
@@ -1,4 +1,4 @@
-// How the core takes in what is said of members, and what it says itself.
+// How the core applies records about members and publishes its own.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -10,13 +10,14 @@
 namespace gaugevalve::membership {
 namespace {
 
-// In small groups, too, a suspicion must outlast a brief stall of the suspected machine.
+// In small groups too, a suspicion must last longer than a brief stall of the suspected machine.
 constexpr double kMinimumSuspicionScale = 2.5;
-// Accusers besides the first that shorten a suspicion to its minimum.
+// Number of accusers after the first that shorten a suspicion to its minimum.
 constexpr std::size_t kExpectedConfirmations = 2;
-// Expected number of members that tell one which was taken for dead; all fail to in one of 10^7.
+// Expected number of members that notify one that was declared dead. With this value, none does in
+// one of 10^7 cases.
 constexpr double kExpectedDeathNotices = 16;
-// With this many updates waiting, suspicions by others aren't passed on.
+// With this many updates queued, suspicions by other nodes are not passed on.
 constexpr std::size_t kBusyQueueSize = 64;
 
 }  // namespace
@@ -102,7 +103,7 @@
   const bool clock_went_back = record.incarnation > self_.incarnation;
   self_.incarnation = base::Incarnation(record.incarnation.value() + 1);
   if (clock_went_back) {
-    self_.metadata_version = self_.incarnation;  // others may hold a former life's metadata
+    self_.metadata_version = self_.incarnation;  // others may hold the metadata of a former process
   }
   ++counters_.refutations;
   health_.RecordFailure();
--- a/libs/membership/src/outbox.cpp
+++ b/libs/membership/src/outbox.cpp
@@ -9,11 +9,12 @@
 namespace gaugevalve::membership {
 namespace {
 
-// The transport's part of a message: the sender's identity (IPv6 at most) and nng's length.
+// Transport overhead of a message: the sender's identity (IPv6 at most) and nng's length prefix.
 constexpr std::size_t kEnvelopeBytes = 56;
-constexpr std::size_t kFieldHeaderBytes = 3;  // tag and length before each record
+constexpr std::size_t kFieldHeaderBytes = 3;  // tag and length of each record
 
-// Whether a member's piggybacked_bytes has a short form: receivers have its metadata already.
+// Returns whether the member's record has a short form. Receivers have the metadata of such a
+// member already.
 bool IsDeathOrRefutation(const Member& member) {
   const bool is_refutation = member.state == MemberState::kAlive &&  //
                              member.incarnation > member.metadata_version;
@@ -100,7 +101,7 @@
   queue_.Take(RetransmitLimit(), [&](base::NodeId node, AccuserTag accuser) {
     const Member* member = table_.Find(node);
     if (member == nullptr) {
-      return true;  // forgotten meanwhile: nothing to send, the entry wears off
+      return true;  // pruned meanwhile: nothing to send, but the transmission counts
     }
     if (IsDeathOrRefutation(*member)) {
       const auto [place, is_new] = tried.try_emplace(SummaryOf(*member), false);
--- a/libs/membership/src/outbox.h
+++ b/libs/membership/src/outbox.h
@@ -1,4 +1,4 @@
-// Builds the messages of one call of the core, with updates carried along.
+// Builds the messages of one call of the core, with piggybacked updates.
 #pragma once
 
 #include "byte_budget.h"
@@ -12,48 +12,49 @@
 
 namespace gaugevalve::membership {
 
-// Every message carries as many queued updates as the limits for a message and for the node allow.
-// Two budgets hold: one for updates, and one for all bytes, in which urgent messages have a
-// reserve.
+// Every message carries as many queued updates as the per-message limit and the node's budgets
+// allow. Two budgets apply: one for updates and one for all bytes, of which a reserve is kept for
+// urgent messages.
 class Outbox {
  public:
   Outbox(base::NodeId self, const MembershipOptions& options, const MemberTable& table,
          UpdateQueue& queue);
 
-  // Sets where the messages of this call go.
+  // Sets the time and the output of the current call.
   void BeginCall(base::TimePoint now, MembershipActions& actions);
 
-  // Sends a message to an address; returns false when the budget had no room for it.
+  // Sends a message to an address. Returns false when the budget is too small for it.
   bool Send(const base::SocketAddress& destination, proto::MembershipMessage& message,
             SendPriority priority);
 
-  // Sends a message to a member, as Send(). One that isn't taken for alive is told so, to refute
-  // it.
+  // Like Send(), for a member. If the member is not believed alive, the message includes its
+  // record, so that it can refute it.
   bool SendTo(const Member& member, proto::MembershipMessage& message, SendPriority priority);
 
-  // Returns how long a message of this priority may be now.
+  // Returns the maximum size of a message of this priority now.
   std::size_t AvailableBytes(SendPriority priority);
 
-  // Sends queued updates; false when there was no budget or nothing to send.
+  // Sends queued updates. Returns false when there is no budget or nothing to send.
   bool SendUpdates(const Member& member);
 
   // Adds this node's own record, for receivers that may not know it.
   void AddOwnRecord(proto::MembershipMessage& message) const;
 
-  // Returns how often each update is to be sent at the present size of the group.
+  // Returns how often each update is sent at the current group size.
   std::uint32_t RetransmitLimit() const;
 
  private:
-  // Adds queued updates, in all at most `room` bytes; returns how many.
+  // Adds queued updates of at most `room` bytes in total. Returns the bytes added.
   std::size_t AddUpdates(proto::MembershipMessage& message, std::size_t room);
-  // Adds a summary of a group if it's shorter than fingerprints; returns its size, 0 when it wasn't
-  // added.
+  // Adds a summary of a group if it is smaller than the fingerprints. Returns its size, or 0 when
+  // it was not added.
   std::size_t AddSummary(const SummaryKey& key, proto::MembershipMessage& message) const;
-  // Adds a member's record in its shortest form if it takes at most `room` bytes; returns its size,
-  // 0 when it doesn't fit.
+  // Adds the shortest form of a member's record if it takes at most `room` bytes. Returns its size,
+  // or 0 when it does not fit.
   std::size_t AddUpdate(const Member& member, AccuserTag accuser, std::size_t room,
                         proto::MembershipMessage& message) const;
-  // `update_bytes` of the message are updates that ride along.
+  // Appends a message to the actions and charges the budget. `update_bytes` is the part of the
+  // message taken by piggybacked updates.
   void AppendMessage(const base::SocketAddress& destination,
                      const proto::MembershipMessage& message, SendPriority priority,
                      std::size_t update_bytes);
--- a/libs/membership/src/peer_selector.cpp
+++ b/libs/membership/src/peer_selector.cpp
@@ -16,7 +16,7 @@
   if (members.empty()) {
     return nullptr;
   }
-  // Identifiers are hashes, so the next one after a random number is a fair enough choice.
+  // Identifiers are hashes, so the successor of a random number is sufficiently uniform.
   auto place = members.lower_bound(base::NodeId(random_.NextUint64()));
   const std::size_t steps = std::min(kMaximumSteps, members.size());
   for (std::size_t step = 0; step < steps; ++step) {
--- a/libs/membership/src/peer_selector.h
+++ b/libs/membership/src/peer_selector.h
@@ -1,4 +1,4 @@
-// Random choice of members.
+// Random selection of members.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,8 @@
 
 namespace gaugevalve::membership {
 
-// Picks members at random: mostly of this node's zone, some of its region, few of other regions.
+// Selects random members: about half from this node's zone, a third from its region and the rest
+// from other regions.
 class PeerSelector {
  public:
   using Predicate = std::function<bool(const Member&)>;
@@ -21,17 +22,17 @@
                base::RandomSource& random)
       : self_(self), table_(table), classifier_(classifier), random_(random) {}
 
-  // Returns a random member, not this node, for which `predicate` holds; looks at a bounded number
-  // of them, so it may find none though there is one.
+  // Returns a random member other than this node that satisfies `predicate`. The search is bounded,
+  // so it may return null although such a member exists.
   const Member* Any(const Predicate& predicate) const;
 
-  // Returns a live member, near ones preferred; null when there is none.
+  // Returns a random live member, with a preference for near ones, or null when there is none.
   const Member* NearLivePeer() const;
 
-  // Returns a random live member of this node's region that the predicate accepts; null if none.
+  // Returns a random live member of this node's region that satisfies the predicate, or null.
   const Member* RegionalLivePeer(const Predicate& predicate) const;
 
-  // Returns up to `count` different live members, none of them `excluded`.
+  // Returns up to `count` distinct live members, without `excluded`.
   std::vector<const Member*> LivePeers(std::size_t count, base::NodeId excluded) const;
 
  private:
--- a/libs/membership/src/probe_rings.cpp
+++ b/libs/membership/src/probe_rings.cpp
@@ -7,7 +7,8 @@
 namespace gaugevalve::membership {
 namespace {
 
-// The rings of successive probes: the zone's two, twice as often as the wide ones.
+// The ring used for each successive probe. The two rings of the zone are used twice as often as the
+// two wide ones.
 constexpr std::array<std::size_t, 6> kSchedule = {0, 1, 2, 0, 1, 3};
 
 }  // namespace
--- a/libs/membership/src/probe_rings.h
+++ b/libs/membership/src/probe_rings.h
@@ -1,4 +1,4 @@
-// Whom a node probes: its successors on hash rings.
+// Selects the probe targets of a node: its successors on hash rings.
 #pragma once
 
 #include <array>
@@ -12,32 +12,32 @@
 
 namespace gaugevalve::membership {
 
-// Every node is the successor of some other on each ring, so it always has known observers and a
-// bounded time between probes; nodes stay with their targets, so connections last. Two rings span
-// the node's zone (probed most often), one its region and one all members. On a ring a node probes
-// its successors up to the first that isn't suspected: after a large failure it gets past the dead
-// without waiting for each suspicion to end.
+// Every node is the successor of another node on each ring, so each member has known observers and
+// a bounded time between probes. Targets are stable, so connections are reused. Two rings cover the
+// node's zone (probed most often), one its region and one all members. On each ring a node probes
+// its successors up to the first one that is not suspected: after a large failure it reaches the
+// live members beyond the failed ones without waiting for each suspicion to end.
 class ProbeRings {
  public:
   explicit ProbeRings(base::NodeId self);
 
-  // Notes that what is known of a member has changed.
+  // Must be called whenever the record of a member changes.
   void OnMemberChanged(const Member& member, Proximity proximity);
 
-  // Returns whom to probe next; nothing when there is nobody.
+  // Returns the next node to probe, or nothing when there is none.
   std::optional<base::NodeId> Next(const MemberTable& table, const ProximityClassifier& classifier);
 
-  // Brings the rings up to date and returns the farthest targets of those that had changed: after a
-  // failure, whom to probe at once to get past the dead.
+  // Rebuilds the stale rings and returns the farthest target of each. After a failure these are
+  // probed at once, to reach the live members beyond the failed ones.
   std::vector<base::NodeId> NewTargets(const MemberTable& table,
                                        const ProximityClassifier& classifier);
 
-  // Returns whether the node is one of this node's targets (as of the last Next()).
+  // Returns whether the node is one of this node's targets, as of the last Next().
   bool IsTarget(base::NodeId node) const;
 
  private:
   static constexpr std::size_t kRings = 4;
-  static constexpr std::size_t kMaximumTargets = 4;  // of one ring
+  static constexpr std::size_t kMaximumTargets = 4;  // per ring
 
   struct Target {
     std::uint64_t distance = 0;  // on the ring, from this node
@@ -50,10 +50,10 @@
   };
 
   struct Ring {
-    Proximity farthest = Proximity::kSameZone;  // members farther away aren't on the ring
+    Proximity farthest = Proximity::kSameZone;  // members farther away are not on the ring
     std::uint64_t salt = 0;
-    std::uint64_t origin = 0;     // this node's place
-    std::vector<Target> targets;  // by distance
+    std::uint64_t origin = 0;     // this node's position
+    std::vector<Target> targets;  // ordered by distance
     std::size_t cursor = 0;
     bool is_stale = true;
   };
--- a/libs/membership/src/proximity.h
+++ b/libs/membership/src/proximity.h
@@ -1,4 +1,4 @@
-// How far apart two members are.
+// The network distance between two members.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 enum class Proximity : std::uint8_t { kSameZone = 0, kSameRegion = 1, kOtherRegion = 2 };
 
-// Judges members as seen from one place.
+// Classifies members by their distance from one zone.
 class ProximityClassifier {
  public:
   ProximityClassifier(std::string region, std::string zone)
--- a/libs/membership/src/simulation/hollow_group.cpp
+++ b/libs/membership/src/simulation/hollow_group.cpp
@@ -10,9 +10,9 @@
 constexpr std::uint32_t kDataNetwork = 0x0b000000;     // 11.0.0.0
 constexpr std::uint16_t kControlPort = 7000;
 constexpr std::uint16_t kDataPort = 7001;
-// The simulated time 0 in microseconds since the Unix epoch, for incarnations.
+// The simulated time 0 in microseconds since the Unix epoch; incarnations are derived from it.
 constexpr std::uint64_t kEpoch = 1'780'000'000'000'000;
-// Of the nodes, one in this many is a balancer (660 of 4,460 in the target).
+// One node in this many is a balancer (660 of 4,460 in the target deployment).
 constexpr std::size_t kNodesForEachBalancer = 7;
 constexpr std::size_t kEndpointsForEachService = 4;
 
--- a/libs/membership/src/state_exchange.cpp
+++ b/libs/membership/src/state_exchange.cpp
@@ -6,10 +6,11 @@
 namespace gaugevalve::membership {
 namespace {
 
-// Comparisons of digests answered; each costs up to two messages of a few kilobytes.
+// Rate limit on answers to digest offers. Each answer costs up to two messages of a few kilobytes.
 constexpr double kComparisonsPerSecond = 1;
 constexpr double kComparisonBurst = 2;
-constexpr std::size_t kMinimumPageBytes = 256;  // with less room, refused: a record takes about 100
+// Requests are refused when the byte budget has less room than this.
+constexpr std::size_t kMinimumPageBytes = 256;  // a record takes about 100 bytes
 constexpr std::size_t kPageHeaderBytes = 40;
 constexpr std::size_t kRecordHeaderBytes = 3;
 constexpr base::Duration kRequestRetryInterval = std::chrono::seconds(1);
@@ -63,7 +64,8 @@
   proto::MembershipMessage message;
   const Member* requester = table_.Find(sender.node);
   if (requester != nullptr && requester->incarnation > sender.incarnation) {
-    // Its clock was set back: it must go above its former life before it counts as joined.
+    // The requester's clock was set back: it must raise its incarnation above that of its former
+    // process before it counts as joined.
     EncodeRecord(*requester, RecordDetail::kState, MakeAccuserTag(self_), *message.add_updates());
   }
   proto::StatePage& page = *message.mutable_state_page();
@@ -248,7 +250,8 @@
   proto::MembershipMessage message;
   message.mutable_state_request()->set_after(cursor_.value());
   outbox_.AddOwnRecord(message);
-  outbox_.Send(PageSource(), message, SendPriority::kUnlimited);  // not in service yet
+  outbox_.Send(PageSource(), message,
+               SendPriority::kUnlimited);  // not joined yet, so the byte budget does not apply
 }
 
 base::SocketAddress StateExchange::PageSource() {
@@ -297,7 +300,7 @@
   }
   const base::SocketAddress seed = RandomSeed();
   if (!IsLiveAddress(seed)) {
-    OfferDigestTo(seed);  // it may belong to a group that lost sight of this one
+    OfferDigestTo(seed);  // the seed may belong to a group that was separated from this one
   }
 }
 
@@ -341,7 +344,7 @@
     used += record.ByteSizeLong() + kRecordHeaderBytes;
     if (used > room) {
       message.mutable_updates()->RemoveLast();
-      break;  // the next exchange brings the rest
+      break;  // the next exchange sends the rest
     }
   }
   if (message.updates_size() > 0) {
--- a/libs/membership/src/state_exchange.h
+++ b/libs/membership/src/state_exchange.h
@@ -1,4 +1,5 @@
-// How whole views travel: joining by pages, and repair by comparing digests.
+// Transfers whole views: paged state transfer on join, and anti-entropy repair by comparing
+// digests.
 #pragma once
 
 #include <cstddef>
@@ -18,12 +19,13 @@
 
 namespace gaugevalve::membership {
 
-// A joining node fetches the live members page by page: the first from a seed, the others from any
-// member it knows by then, so that a mass start doesn't weigh on the seeds. Later each node offers
-// its digest to a random member now and then; buckets that differ are compared record by record.
+// A joining node fetches the live members in pages: the first from a seed, the others from any
+// member that it knows by then, so that many simultaneous joins do not overload the seeds. After
+// the join each node periodically offers its digest to a random member, and buckets that differ are
+// compared record by record.
 class StateExchange {
  public:
-  // Takes a record received, with the node that sent it.
+  // Receives each record together with the node that sent it.
   using RecordSink = std::function<void(const MemberRecord&, const transport::SenderIdentity&)>;
 
   StateExchange(base::NodeId self, const MembershipOptions& options, const MemberTable& table,
@@ -37,10 +39,9 @@
                       base::TimePoint now);
   void OnStatePage(const transport::SenderIdentity& sender, const proto::StatePage& page,
                    base::TimePoint now);
-  // Takes the digest of a sender's whole view. When it differs and this node has no
-  // piggybacked_bytes left to spread (so the difference won't end by itself), compares in detail,
-  // ever more rarely as long as the views don't become the same. A zero digest is of a ping that
-  // doesn't carry one.
+  // Handles the digest of a sender's whole view. If it differs and this node has no queued updates
+  // that may still remove the difference, starts a detailed comparison. The interval between these
+  // comparisons doubles until the views agree. A digest of zero means that the ping carried none.
   void OnViewDigest(const transport::SenderIdentity& sender, std::uint32_t digest,
                     bool has_no_pending_updates, base::TimePoint now);
   void OnDigestOffer(const transport::SenderIdentity& sender, const proto::DigestOffer& offer,
@@ -50,9 +51,9 @@
   void OnRecordRequest(const transport::SenderIdentity& sender,
                        const proto::RecordRequest& request);
 
-  // Notes that `holder` has a record this node can't use without its metadata.
+  // Queues a request for the record of a node that cannot be used without its metadata.
   void QueueRecordRequest(base::NodeId node);
-  // Asks `holder` for the records noted since the last call, each once a second at most.
+  // Requests the queued records from `holder`; each record at most once per second.
   void SendRecordRequests(const base::SocketAddress& holder, base::TimePoint now);
 
   void OnTick(base::TimePoint now);
@@ -64,10 +65,11 @@
     RecordDetail detail = RecordDetail::kFull;
   };
 
-  static constexpr std::size_t kMaximumBucketsCompared = 8;    // in one exchange
-  static constexpr std::size_t kMaximumRecordsRequested = 64;  // in one message
+  static constexpr std::size_t kMaximumBucketsCompared = 8;    // per exchange
+  static constexpr std::size_t kMaximumRecordsRequested = 64;  // per message
   static constexpr std::size_t kMaximumTrackedRequests = 1024;
-  static constexpr unsigned kMaximumBackOffFactor = 8;  // join timeouts between two tries
+  static constexpr unsigned kMaximumBackOffFactor =
+      8;  // maximum back-off between join attempts, in join timeouts
 
   void RequestPage(base::TimePoint now);
   base::SocketAddress PageSource();
@@ -94,8 +96,9 @@
   std::vector<base::SocketAddress> seeds_;  // without this node's own address
 
   bool is_joined_ = false;
-  base::NodeId cursor_;                              // members up to here were received
-  absl::btree_set<base::NodeId> used_page_sources_;  // each has bytes for one or two in a second
+  base::NodeId cursor_;  // members up to this identifier were received
+  absl::btree_set<base::NodeId>
+      used_page_sources_;  // a source's byte budget covers one or two pages per second
   unsigned failed_requests_ = 0;
   base::TimePoint page_deadline_{};
   base::TimePoint next_offer_at_{};
--- a/libs/membership/src/suspicion_tracker.h
+++ b/libs/membership/src/suspicion_tracker.h
@@ -1,4 +1,4 @@
-// The suspicions that run, and when each becomes a expired.
+// Tracks running suspicions and their deadlines.
 #pragma once
 
 #include <cstddef>
@@ -14,16 +14,16 @@
 
 namespace gaugevalve::membership {
 
-// How long a suspicion may last.
+// Bounds on the length of a suspicion.
 struct SuspicionLimits {
-  base::Duration minimum{0};               // once enough others have confirmed it
-  base::Duration maximum{0};               // while nobody has
-  std::size_t expected_confirmations = 0;  // 0: the minimum holds from the start
+  base::Duration minimum{0};               // once the expected confirmations have arrived
+  base::Duration maximum{0};               // without any confirmation
+  std::size_t expected_confirmations = 0;  // 0: the minimum applies from the start
 };
 
-// Lifeguard's suspicions: each accuser besides the first shortens the time that is left, so a
-// expired comes fast when several see it and slowly when one alone does. One for each suspected
-// member, so bounded by the table.
+// Lifeguard's suspicions: each accuser after the first shortens the remaining time, so a failure
+// seen by several members is confirmed quickly and one seen by a single member slowly. Holds at
+// most one entry per suspected member, so the table bounds its size.
 class SuspicionTracker {
  public:
   struct ExpiredSuspicion {
@@ -31,20 +31,21 @@
     base::Incarnation incarnation;
   };
 
-  // Starts a suspicion, in place of an earlier one of this member.
+  // Starts a suspicion, replacing an earlier one of the same member.
   void Start(base::NodeId node, base::Incarnation incarnation, AccuserTag accuser,
              const SuspicionLimits& limits, base::TimePoint now);
 
-  // Counts another accuser; false when it isn't piggybacked_bytes (known, enough already, nothing
-  // runs).
+  // Adds an accuser. Returns false when it has no effect: the accuser is known, there are enough of
+  // them, or no suspicion of this incarnation is running.
   bool Confirm(base::NodeId node, base::Incarnation incarnation, AccuserTag accuser);
 
   void Stop(base::NodeId node);
 
-  // Puts all deadlines off: this node was paused and didn't hear refutations.
+  // Postpones all deadlines by the length of a pause in which this node could not receive
+  // refutations.
   void Postpone(base::Duration pause);
 
-  // Ends and returns one suspicion whose time is up.
+  // Removes and returns one suspicion whose deadline has passed.
   std::optional<ExpiredSuspicion> PopExpired(base::TimePoint now);
   std::optional<base::TimePoint> NextDeadline() const;
 
--- a/libs/membership/src/update_queue.h
+++ b/libs/membership/src/update_queue.h
@@ -1,4 +1,4 @@
-// Which members' records are still to be spread, and how often each was sent.
+// The member records that are waiting to be gossiped, with their transmission counts.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +13,19 @@
 
 namespace gaugevalve::membership {
 
-// At most one entry for each member, so it is bounded by the table. Those sent least often go
-// first, and among them the oldest: after a large failure every record leaves once before any
-// leaves twice.
+// Holds at most one entry per member, so the table bounds its size. Entries with the fewest
+// transmissions go first, and among these the oldest: after a large failure every record is sent
+// once before any is sent twice.
 class UpdateQueue {
  public:
-  // Looks at an entry; returns whether there was room to send it.
+  // Receives an entry and returns whether there was room to send it.
   using Visitor = std::function<bool(base::NodeId, AccuserTag)>;
 
-  // Puts a member at the front, as never sent. `accuser` goes along with a suspicion.
+  // Adds a member with a transmission count of 0. `accuser` is sent along with a suspicion.
   void Enqueue(base::NodeId node, AccuserTag accuser);
 
-  // Offers entries until one doesn't fit. Those sent `limit` times leave the queue.
+  // Passes entries to the visitor until one does not fit. Entries that were sent `limit` times are
+  // removed.
   void Take(std::uint32_t limit, const Visitor& visitor);
 
   bool empty() const { return by_order_.empty(); }
--- a/libs/membership/tests/byte_budget_test.cpp
+++ b/libs/membership/tests/byte_budget_test.cpp
@@ -1,4 +1,5 @@
-// The budget of bytes by itself, and kept by a core that others ask for all they can.
+// Tests of the byte budget on its own, and of a core that stays within it while other nodes send
+// more requests than it can answer.
 #include "byte_budget.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,8 +21,9 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kMembers = 2000;
-constexpr std::size_t kBudget = 5000;       // the deployment's, for a node's control in a second
-constexpr std::size_t kEnvelopeBytes = 43;  // with an IPv4 address, and nng's 8 of length
+constexpr std::size_t kBudget = 5000;  // a node's limit for control traffic in one second
+constexpr std::size_t kEnvelopeBytes =
+    43;  // with an IPv4 address and nng's length prefix of 8 bytes
 
 base::TimePoint At(int millisecond) { return base::TimePoint(milliseconds(millisecond)); }
 
@@ -49,11 +51,12 @@
     budget.RecordSent(700, SendPriority::kRepair, At(0));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.AvailableBytes(SendPriority::kRepair, At(0)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{300}, budget.AvailableBytes(SendPriority::kProbe, At(0)));
-    budget.RecordSent(500, SendPriority::kUnlimited, At(0));  // answers went beyond
+    budget.RecordSent(500, SendPriority::kUnlimited, At(0));  // exceeds the budget
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, budget.AvailableBytes(SendPriority::kProbe, At(0)));
   }
 
-  // Found by the proof: probes used up what repair needed for an offer, so that views stayed wrong.
+  // Guards against probes consuming the share that repair needs for a digest offer, after which
+  // views stayed wrong. Found by the proof.
   void ProbesWithinTheReserveLeaveRepairItsShare() {
     ByteBudget budget(1000, 300);
     budget.RecordSent(300, SendPriority::kProbe, At(0));
@@ -85,9 +88,9 @@
       largest = std::max(largest, sum);
     }
     CPPUNIT_ASSERT_MESSAGE(std::to_string(largest) + " bytes in a second", largest <= kBudget);
-    // It isn't kept by silence: pages go out, and probes do all the while.
+    // The core must not meet the limit by sending nothing: pages and probes continue.
     CPPUNIT_ASSERT(largest > kBudget / 2);
-    CPPUNIT_ASSERT(core.Counters().pages_served >= 10);  // one a second
+    CPPUNIT_ASSERT(core.Counters().pages_served >= 10);  // one per second
     CPPUNIT_ASSERT(core.Counters().pages_refused > 10);
     CPPUNIT_ASSERT(core.Counters().probes_started >= 20);
   }
@@ -114,7 +117,7 @@
     return members;
   }
 
-  // One joining node asks for a page, others for records and comparisons.
+  // Sends a page request, a record request and a digest offer, all from one member.
   static void SendAllRequestKinds(Membership& core, int now, MembershipActions& actions) {
     const auto members = MakeMembers();
     const Member& asking = members.at(static_cast<std::size_t>(now) % kMembers);
--- a/libs/membership/tests/group_summary_test.cpp
+++ b/libs/membership/tests/group_summary_test.cpp
@@ -48,7 +48,7 @@
       CPPUNIT_ASSERT(sender.Find(record.node)->state == MemberState::kDead);
       CPPUNIT_ASSERT(receiver.Merge(record, {}).outcome == MergeOutcome::kChanged);
     }
-    CPPUNIT_ASSERT(DecodeSummary(receiver, summary, false).empty());  // no news any more
+    CPPUNIT_ASSERT(DecodeSummary(receiver, summary, false).empty());  // already known
   }
 
   void IncludesOnlyMembersWithEqualRefutations() {
@@ -110,7 +110,8 @@
     return table;
   }
 
-  // Returns the summary of the dead at these refutations, who must be so many.
+  // Returns the summary of the dead members with this number of refutations. Fails unless it covers
+  // `members`.
   static proto::GroupSummary Summarise(const MemberTable& table, std::uint64_t refutations,
                                        std::size_t members) {
     SummaryKey key = SummaryOf(table.Members().begin()->second);
--- a/libs/membership/tests/member_table_test.cpp
+++ b/libs/membership/tests/member_table_test.cpp
@@ -60,7 +60,7 @@
     ExpectMerge(table, MakeRecord(10, MemberState::kAlive), MergeOutcome::kChanged);
     ExpectMerge(table, MakeRecord(20, MemberState::kAlive, false), MergeOutcome::kNeedsMetadata);
     CPPUNIT_ASSERT(table.Find(kNode)->incarnation == base::Incarnation(10));
-    // That a life has ended can be taken in without knowing more of it.
+    // A death is applied even if the metadata of that process is unknown.
     ExpectMerge(table, MakeRecord(20, MemberState::kDead, false), MergeOutcome::kChanged);
   }
 
--- a/libs/membership/tests/membership_fuzzer.cpp
+++ b/libs/membership/tests/membership_fuzzer.cpp
@@ -1,5 +1,5 @@
-// Feeds arbitrary payloads to a core that knows a few members: it must neither crash nor lose
-// itself.
+// Passes arbitrary payloads to a core that knows a few members. It must neither crash nor stop
+// listing itself.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
--- a/libs/membership/tests/membership_test.cpp
+++ b/libs/membership/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// The core in small simulated groups.
+// Tests of the core in small simulated groups.
 #include "gaugevalve/membership/membership.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -96,7 +96,7 @@
     ExpectConvergence(seconds(60));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Observers(EventKind::kSelfPaused, 9));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Observers(EventKind::kSelfDeclaredDead, 9));
-    // It woke with old news, and took nobody else for dead.
+    // The thawed member had an outdated view, but must not declare any other member dead.
     CPPUNIT_ASSERT_EQUAL(kMembers - 1, TotalOf(EventKind::kFailed));
   }
 
@@ -135,7 +135,8 @@
   }
 
   void FormerProcessIsSuperseded() {
-    // Both run: the former is frozen while a process with its identity starts elsewhere.
+    // The former process is frozen while a process with the same identity starts at another
+    // address.
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
     simulator_->Freeze(group_->Index(9));
@@ -174,12 +175,13 @@
     CPPUNIT_ASSERT(group_->Life(3).Core().Find(settings.node)->state == MemberState::kAlive);
   }
 
-  // Found by the proof: a member that had missed a change, but not the death after it, took the
-  // refutation of that death together with the metadata of before the change.
+  // Guards against a refutation being combined with outdated metadata. A member that had missed a
+  // metadata change, but not the death after it, applied the refutation of that death to the
+  // metadata from before the change. Found by the proof.
   void FingerprintRefutationRequiresMetadata() {
     constexpr base::NodeId kOther(9);
     constexpr base::Incarnation kKnown(10);
-    constexpr base::Incarnation kDiedAt(11);  // where its metadata had changed too
+    constexpr base::Incarnation kDiedAt(11);  // its metadata had changed at this incarnation, too
     Member other{
         kOther, kKnown, kKnown, MemberState::kAlive, {}, std::make_shared<MemberMetadata>()};
     Membership core(base::NodeId(1), {}, {}, kSeed);
--- a/libs/membership/tests/nng_membership_test.cpp
+++ b/libs/membership/tests/nng_membership_test.cpp
@@ -1,4 +1,4 @@
-// The core over real sockets: nng on loopback, driven by libevent.
+// Tests of the core over real sockets: nng on loopback, driven by libevent.
 #include <cppunit/extensions/HelperMacros.h>
 #include <event2/event.h>
 
@@ -21,7 +21,7 @@
   void operator()(event* owned) const { event_free(owned); }
 };
 
-// A member in this process, ticking by a libevent timer.
+// A member in this process, driven by a libevent timer.
 class SocketMember {
  public:
   SocketMember(event_base* base, std::uint64_t number,
@@ -78,8 +78,8 @@
     RunUntilAllSee(*base, members, kMembers);
     members.back()->Leave();
     RunUntilAllSee(*base, members, kMembers - 1);
-    members.pop_back();                  // nobody sends news to one that has left
-    members.erase(members.begin() + 1);  // vanishes without a word
+    members.pop_back();                  // members that have left receive no further updates
+    members.erase(members.begin() + 1);  // stops without announcing it
     RunUntilAllSee(*base, members, kMembers - 2);
   }
 
@@ -87,7 +87,8 @@
   static constexpr std::size_t kMembers = 5;
   using Members = std::vector<std::unique_ptr<SocketMember>>;
 
-  // Runs the loop until every member counts `expected`; a hang is ended by the test runner's limit.
+  // Runs the loop until every member counts `expected` live members. The test runner's time limit
+  // ends a run that does not get there.
   static void RunUntilAllSee(event_base& base, const Members& members, std::size_t expected) {
     const auto is_reached = [&] {
       for (const auto& member : members) {
--- a/proofs/dissemination/src/control_world.cpp
+++ b/proofs/dissemination/src/control_world.cpp
@@ -9,7 +9,7 @@
 using control_simulation::HollowDeployment;
 using control_simulation::HollowDeploymentSettings;
 
-// How often the oracle looks.
+// The interval at which the oracle checks all nodes.
 constexpr base::Duration kCheckInterval = std::chrono::milliseconds(100);
 constexpr base::Duration kTimeToSettle = std::chrono::minutes(2);
 
@@ -122,7 +122,7 @@
   }
   if (!violation_ && !HasSettled()) {
     std::ostringstream text;
-    text << "not settled after the faults: newest is " << newest_ << ", in force";
+    text << "not settled after the faults: newest is " << newest_ << ", active revisions";
     for (std::size_t node = 0; node < kBalancers; ++node) {
       text << ' ' << nodes_.Life(node).Core().Settings().Active().revision;
     }
@@ -168,7 +168,7 @@
 void ControlWorld::CheckSettings(std::size_t node, const control::ActiveSettings& active,
                                  ObservedState& seen) {
   if (active.revision < seen.revision) {
-    ReportViolation(node, "the revision in force went back");
+    ReportViolation(node, "the active revision went back");
   }
   activations_ += active.revision > seen.revision ? 1 : 0;
   seen.revision = active.revision;
@@ -177,9 +177,9 @@
   }
   const auto committed = nodes_.Store().Committed().find(active.revision);
   if (committed == nodes_.Store().Committed().end()) {
-    ReportViolation(node, "a revision is in force that was never committed");
+    ReportViolation(node, "the active revision was never committed");
   } else if (committed->second != *active.settings) {
-    ReportViolation(node, "the settings in force are a mix of revisions");
+    ReportViolation(node, "the active settings are a mix of revisions");
   }
 }
 
@@ -191,7 +191,7 @@
       continue;
     }
     if (table->version < seen.tables[id]) {
-      ReportViolation(node, "a table went back");
+      ReportViolation(node, "the version of a table went back");
     }
     seen.tables[id] = table->version;
   }
--- a/proofs/dissemination/src/control_world.h
+++ b/proofs/dissemination/src/control_world.h
@@ -12,17 +12,17 @@
 
 namespace gaugevalve::proofs {
 
-// Protections taken away, to see that the oracle notices.
+// Settings of a world. The flags disable protections, to show that the oracle detects it.
 struct ControlWorldSettings {
   std::uint64_t seed = 1;
   bool accept_older_records = false;
   bool activate_partially = false;
 };
 
-// Five balancers and two services of two agents, in three zones of two regions. Every step runs
-// some simulated time and asks the oracle:
-// - what a balancer has in force is a committed revision, with exactly the settings committed;
-// - within a life neither the revision in force nor a table's version goes back.
+// Five balancers and two services with two agents each, in three zones of two regions. Every step
+// runs some simulated time and checks these rules:
+// - a balancer's active revision is a committed one, with exactly the settings that were committed;
+// - within the run of a process, neither the active revision nor the version of a table decreases.
 class ControlWorld {
  public:
   static constexpr std::size_t kBalancers = 5;
@@ -32,9 +32,10 @@
 
   explicit ControlWorld(const ControlWorldSettings& settings);
 
-  // The adversary's steps. What can't be done now does nothing.
+  // Faults and other steps. A step that does not apply in the current state has no effect.
   void Edit(std::size_t service, std::uint32_t weight);
-  void Kill(std::size_t node);  // the last running balancer stays: else the newest could be lost
+  void Kill(std::size_t node);  // the last running balancer is kept, because the newest revision
+                                // could be lost with it
   void Restart(std::size_t node);
   void Freeze(std::size_t node);
   void Thaw(std::size_t node);
@@ -45,18 +46,18 @@
   void SetMessageFaults(double probability);
   void Run(base::Duration duration);
 
-  // Ends every fault and runs until all balancers have the newest revision and all nodes one table
-  // a service, at most two minutes; then says what isn't so.
+  // Ends all faults and runs until all balancers have the newest revision and all nodes have the
+  // same table for each service. Reports a violation if that takes more than two minutes.
   void HealAndSettle();
 
-  // Returns the first rule seen broken.
+  // Returns the first violation of a rule, or nothing.
   const std::optional<std::string>& Violation() const { return violation_; }
 
   std::size_t Commits() const { return commits_; }
   std::size_t Activations() const { return activations_; }
 
  private:
-  // What a balancer's life had when it was last looked at.
+  // What a process of a node had at the last check.
   struct ObservedState {
     base::Incarnation life;
     base::Revision revision;
--- a/proofs/dissemination/src/dissemination_proof.cpp
+++ b/proofs/dissemination/src/dissemination_proof.cpp
@@ -1,7 +1,7 @@
-// Stateful fuzzing of the control plane: edits, kills, restarts, pauses, outages of the store,
-// splits and lost, repeated and reordered messages, in simulated time. The oracle is in
-// ControlWorld. Two protections are also taken away in turn; the oracle must then see the very rule
-// broken that the protection is for.
+// Stateful fuzzing of the control plane in simulated time: edits, kills, restarts, pauses, outages
+// of the store, partitions, and lost, duplicated and reordered messages. The oracle is in
+// ControlWorld. Two protections are also disabled, one at a time, and the oracle must report the
+// violation of exactly the rule that the protection ensures.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -30,14 +30,23 @@
 };
 
 std::ostream& operator<<(std::ostream& stream, StepKind kind) {
-  static constexpr const char* kNames[] = {"edit",    "kill",       "restart",        "freeze",
-                                           "thaw",    "store away", "store back",     "split",
-                                           "isolate", "heal",       "message faults", "run"};
+  static constexpr const char* kNames[] = {"edit",
+                                           "kill",
+                                           "restart",
+                                           "freeze",
+                                           "thaw",
+                                           "store unavailable",
+                                           "store available",
+                                           "split",
+                                           "isolate",
+                                           "heal",
+                                           "message faults",
+                                           "run"};
   return stream << kNames[static_cast<std::size_t>(kind)];
 }
 
-// The oracle is in the world; any step may come at any time. Only a violation with these rule in
-// it counts; any does when there are none.
+// The oracle is part of the world; every step is allowed in every state. If `rule` is not empty,
+// only a violation whose text contains it fails the case.
 struct Model {
   std::string rule;
 };
@@ -51,7 +60,7 @@
 
 using ControlCommand = rc::state::Command<Model, ControlWorld>;
 
-// One step of the adversary, and a little time.
+// One fault or other step, followed by a short simulated time.
 class Perform final : public ControlCommand {
  public:
   Perform()
@@ -127,13 +136,13 @@
   std::uint32_t number_;
 };
 
-// What the cases of one property did, to show that it wasn't about nothing.
+// Counts of what the cases of a property did, to show that it was not trivially true.
 struct Totals {
   std::size_t commits = 0;
   std::size_t activations = 0;
 };
 
-// Of the cases of the property that holds.
+// The totals of the property without injected faults.
 Totals& TotalsOfAllCases() {
   static Totals totals;
   return totals;
@@ -154,10 +163,10 @@
   TotalsOfAllCases().activations += totals.activations;
 }
 
-// Fails when the cases run before were too few to show anything.
+// Fails if the preceding cases had too few edits to be meaningful.
 void CasesHadEdits() {
   constexpr std::size_t kMinimumCommits = 200;
-  constexpr std::size_t kMinimumActivations = 1000;  // about five balancers for each
+  constexpr std::size_t kMinimumActivations = 1000;  // about five balancers activate each commit
   RC_ASSERT(TotalsOfAllCases().commits > kMinimumCommits);
   RC_ASSERT(TotalsOfAllCases().activations > kMinimumActivations);
 }
--- a/proofs/membership/src/membership_proof.cpp
+++ b/proofs/membership/src/membership_proof.cpp
@@ -1,6 +1,7 @@
-// Stateful fuzzing of the membership core. Rules at every moment: knowledge never gets older. After
-// the faults end: every view becomes the truth. Refutation and the order of incarnations are each
-// taken away in turn; the rules must then be seen broken.
+// Stateful fuzzing of the membership core. At every moment, no view may go back to an older record.
+// After the faults end, every view must become correct. Protections such as refutation and the
+// order of incarnations are then disabled one at a time, and the oracle must report the violation
+// of the corresponding rule.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -31,18 +32,27 @@
 };
 
 std::ostream& operator<<(std::ostream& stream, StepKind kind) {
-  static constexpr const char* kNames[] = {
-      "run",         "kill",    "restart",       "freeze",        "thaw",           "leave",
-      "toggle mark", "isolate", "block one way", "split regions", "end partitions", "noise"};
+  static constexpr const char* kNames[] = {"run",
+                                           "kill",
+                                           "restart",
+                                           "freeze",
+                                           "thaw",
+                                           "leave",
+                                           "toggle leaving flag",
+                                           "isolate",
+                                           "block one way",
+                                           "split regions",
+                                           "end partitions",
+                                           "message faults"};
   return stream << kNames[static_cast<std::size_t>(kind)];
 }
 
-// The oracle is in the world; every step is allowed in every state.
+// The oracle is part of the world; every step is allowed in every state.
 struct Model {};
 
 using MembershipCommand = rc::state::Command<Model, MembershipWorld>;
 
-// One step of the adversary, and some time.
+// One fault or other step, followed by some simulated time.
 class Perform final : public MembershipCommand {
  public:
   Perform()
@@ -64,15 +74,16 @@
 
   void run(const Model& /*model*/, MembershipWorld& world) const override {  // NOLINT
     if (world.Violation()) {
-      return;  // told at the end of the case
+      return;  // reported at the end of the case
     }
     Do(world);
-    // Short after most steps, so that faults meet; long enough for verdicts after others.
+    // Short after most steps, so that faults overlap; long after kRun steps, so that members can be
+    // declared dead.
     const bool is_long = kind_ == StepKind::kRun;
     world.Run(number_ * (is_long ? std::chrono::milliseconds(100) : std::chrono::milliseconds(5)));
   }
 
-  void show(std::ostream& stream) const override {  // NOLINT: rapidcheck's name
+  void show(std::ostream& stream) const override {  // NOLINT: name required by rapidcheck
     stream << kind_ << " member=" << member_ << " other=" << other_ << " number=" << number_;
   }
 
@@ -115,7 +126,7 @@
   int number_;
 };
 
-// Runs one generated case and returns the first breach of a rule.
+// Runs one generated case and returns the first violation.
 std::optional<std::string> RunCase(const membership::InjectedFaults& faults,
                                    MembershipTotals& totals) {
   MembershipWorld world(*rc::gen::arbitrary<std::uint64_t>(), faults);
@@ -130,7 +141,7 @@
   return world.Violation();
 }
 
-// Fails when the cases don't hold enough of what the proof is about.
+// Fails if too few of the events that the proof is about occurred.
 void ExpectFaultsTookPlace(const MembershipTotals& totals, std::size_t cases) {
   constexpr std::size_t kEnoughCases = 200;
   constexpr std::size_t kCasesPerRecovery = 10;
@@ -146,7 +157,8 @@
 void ViewsNeverRegressAndConverge() {
   static MembershipTotals totals;
   static std::size_t cases = 0;
-  static bool is_shrinking = false;  // the small cases of a failure tell nothing of the totals
+  static bool is_shrinking =
+      false;  // the shrunk cases of a failure do not count towards the totals
   const std::optional<std::string> violation = RunCase({}, totals);
   if (violation) {
     is_shrinking = true;
@@ -157,7 +169,8 @@
   }
 }
 
-// Returns a property that fails by this rule only: other breaches don't show that it is looked at.
+// Returns a property that fails only on a violation of this rule. Other violations would not show
+// that the rule is checked.
 std::function<void()> ViolatesRule(const membership::InjectedFaults& faults, std::string rule) {
   return [faults, rule = std::move(rule)] {
     MembershipTotals totals;
@@ -174,17 +187,18 @@
                                            ProofKind::kHolds, ViewsNeverRegressAndConverge);
 const testing::RegisteredProof no_refutation_proof("without_refutation", ProofKind::kMutantIsCaught,
                                                    ViolatesRule({.never_refute = true},
-                                                                "views did not become true"));
+                                                                "views did not converge"));
 const testing::RegisteredProof no_order_proof("without_order_of_incarnations",
                                               ProofKind::kMutantIsCaught,
                                               ViolatesRule({.accept_older_incarnations = true},
-                                                           "knowledge got older"));
+                                                           "a view went back to an older record"));
 const testing::RegisteredProof any_base_proof(
     "without_comparing_the_bases_of_groups", ProofKind::kMutantIsCaught,
-    ViolatesRule({.trust_any_group_base = true}, "an incarnation that the member never had"));
+    ViolatesRule({.trust_any_group_base = true},
+                 "a view has an incarnation that the member never announced"));
 const testing::RegisteredProof no_budget_proof(
     "without_the_budget_of_bytes", ProofKind::kMutantIsCaught,
-    ViolatesRule({.ignore_byte_budget = true}, "more bytes in a second than the budget"));
+    ViolatesRule({.ignore_byte_budget = true}, "sent more bytes in one second than the budget"));
 
 }  // namespace
 }  // namespace gaugevalve::proofs
--- a/proofs/membership/src/membership_world.cpp
+++ b/proofs/membership/src/membership_world.cpp
@@ -6,15 +6,15 @@
 namespace gaugevalve::proofs {
 namespace {
 
-// Less than the real budget, as the group is small; without the reserve an offer of digests (1.2
-// KB) must fit.
+// Less than the real budget, because the group is small. Without the reserve, a digest offer (1.2
+// KB) must still fit.
 constexpr std::size_t kBytesPerSecond = 2000;
 constexpr std::size_t kReservedBytesPerSecond = 500;
 constexpr base::Duration kBudgetWindow = std::chrono::seconds(1);
-// Acknowledgements aren't held back.
+// Acknowledgements are exempt from the budget.
 constexpr std::size_t kAcknowledgementBytes = 500;
 constexpr base::Duration kCheckInterval = std::chrono::milliseconds(50);
-// The views of healed groups must be true after this long.
+// After the faults end, the views must become correct within this time.
 constexpr base::Duration kConvergenceLimit = std::chrono::minutes(2);
 
 simulation::NetworkModel MakeNetwork() {
@@ -32,7 +32,8 @@
   settings.options.bytes_per_second = kBytesPerSecond;
   settings.options.reserved_bytes_per_second = kReservedBytesPerSecond;
   if (seed % 2 == 0) {
-    settings.options.summary_bytes_per_member = 100;  // else a group this small never gets one
+    settings.options.summary_bytes_per_member =
+        100;  // otherwise a group this small never sends a summary
   }
   settings.listener = [this](simulation::NodeIndex, const membership::MembershipEvent& event) {
     OnEvent(event);
@@ -111,7 +112,7 @@
   }
   std::string difference;
   if (!violation_ && !group_->HasConverged(&difference)) {
-    violation_ = "views did not become true: " + difference;
+    violation_ = "views did not converge: " + difference;
   }
 }
 
@@ -161,7 +162,7 @@
     const membership::Member& self = life.Core().Self();
     BytesSent& sent = sent_[{member, self.metadata->life, self.node}];
     if (!life.Core().IsJoined()) {
-      sent.clear();  // not in service yet
+      sent.clear();  // not joined yet, so the budget does not apply
       continue;
     }
     const std::uint64_t bytes = life.Counters().Of(transport::MessageKind::kMembership).sent_bytes;
@@ -170,7 +171,7 @@
       sent.pop_front();
     }
     if (bytes - sent.front().second > kBytesPerSecond + kAcknowledgementBytes) {
-      ReportViolation("more bytes in a second than the budget", member, self);
+      ReportViolation("sent more bytes in one second than the budget", member, self);
     }
   }
 }
@@ -182,13 +183,13 @@
   const ObservedState before = std::exchange(place->second, now);
   if (!is_new &&
       std::tie(now.incarnation, now.state) < std::tie(before.incarnation, before.state)) {
-    ReportViolation("knowledge got older", observer, seen);
+    ReportViolation("a view went back to an older record", observer, seen);
   }
   if (!is_new && now.life < before.life) {
-    ReportViolation("a newer life was taken for an older one", observer, seen);
+    ReportViolation("a view went back to an older process", observer, seen);
   }
   if (now.incarnation > issued_[seen.node]) {
-    ReportViolation("an incarnation that the member never had", observer, seen);
+    ReportViolation("a view has an incarnation that the member never announced", observer, seen);
   }
 }
 
@@ -199,8 +200,8 @@
   }
   std::ostringstream text;
   text << rule << ": member " << observer << " sees node " << seen.node << " "
-       << membership::MemberStateName(seen.state) << " at " << seen.incarnation << ", life "
-       << seen.metadata->life;
+       << membership::MemberStateName(seen.state) << " at " << seen.incarnation
+       << ", process incarnation " << seen.metadata->life;
   violation_ = text.str();
 }
 
--- a/proofs/membership/src/membership_world.h
+++ b/proofs/membership/src/membership_world.h
@@ -1,4 +1,4 @@
-// A small group in the simulator, and the oracle that watches it.
+// A small simulated group under faults, with an oracle that checks the members' views.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace gaugevalve::proofs {
 
-// How often what the proof is about took place.
+// Counts of the events that the proof is about, to show that they occurred.
 struct MembershipTotals {
   std::size_t deaths_reported = 0;
   std::size_t recoveries = 0;
@@ -24,21 +24,23 @@
   std::size_t self_death_reports = 0;
 };
 
-// Rules that hold at every look: what an observer knows of a member never gets older, neither its
-// incarnation with its state nor its life, and never is newer than what the member has said; a
-// member in service keeps its budget of bytes in every second. After
-// Heal() every view must become the truth in a bounded time.
+// Checks these rules at regular intervals:
+// - what an observer knows of a member never gets older, neither the incarnation with its state nor
+//   the process incarnation (`life`);
+// - it is never newer than what the member has announced;
+// - a joined member stays within its byte budget in every second.
+// After Heal() every view must become correct within kConvergenceLimit.
 class MembershipWorld {
  public:
   static constexpr std::size_t kMembers = 7;
-  static constexpr std::size_t kSeeds = 3;  // the first of each zone
+  static constexpr std::size_t kSeeds = 3;  // the first member of each zone
 
   MembershipWorld(std::uint64_t seed, const membership::InjectedFaults& faults);
 
-  // Lets time pass, looking at all views every kCheckInterval.
+  // Advances the simulation and checks all rules every kCheckInterval.
   void Run(base::Duration duration);
 
-  // Faults. Those that make no sense for a member's present state do nothing.
+  // Faults. A fault that does not apply to the member's current state has no effect.
   void Kill(std::size_t member);
   void Restart(std::size_t member);
   void Freeze(std::size_t member);
@@ -51,23 +53,23 @@
   void EndPartitions();
   void SetMessageFaults(double probability);  // of loss, duplication and reordering
 
-  // Ends all faults, starts the seeds that are down, and runs until all views are true.
+  // Ends all faults, restarts stopped seeds, and runs until all views are correct.
   void Heal();
 
-  // Returns the first breach of a rule; nothing while there is none.
+  // Returns the first violation of a rule, or nothing.
   const std::optional<std::string>& Violation() const { return violation_; }
   const MembershipTotals& Totals() const { return totals_; }
 
  private:
-  // What an observer knew of a member when last looked at.
+  // What an observer knew of a member at the last check.
   struct ObservedState {
     base::Incarnation incarnation;
     membership::MemberState state = membership::MemberState::kAlive;
     base::Incarnation life;
   };
-  // What a member had sent at the looks of the last second, oldest first.
+  // Total bytes sent by a member at the checks of the last second, oldest first.
   using BytesSent = std::deque<std::pair<base::TimePoint, std::uint64_t>>;
-  // (observer, its life, member)
+  // (observer, its process incarnation, member)
   using ObservationKey = std::tuple<std::size_t, base::Incarnation, base::NodeId>;
 
   bool IsRunning(std::size_t member) const;
@@ -82,8 +84,10 @@
   simulation::Simulator simulator_;
   std::unique_ptr<membership_simulation::HollowGroup> group_;
   std::map<ObservationKey, ObservedState> observed_;
-  std::map<ObservationKey, BytesSent> sent_;          // key: (member, its life, itself)
-  std::map<base::NodeId, base::Incarnation> issued_;  // the highest each member has said
+  std::map<ObservationKey, BytesSent>
+      sent_;  // key: (member, its process incarnation, its identifier)
+  std::map<base::NodeId, base::Incarnation>
+      issued_;  // highest incarnation announced by each member
   std::optional<std::string> violation_;
   MembershipTotals totals_;
 };
