--- a/libs/placement/include/gaugevalve/placement/agent_directory.h
+++ b/libs/placement/include/gaugevalve/placement/agent_directory.h
@@ -21,8 +21,8 @@
 struct KnownAgent {
   base::SocketAddress address;
   AgentReport report;
-  std::uint32_t zone = 0;           ///< ZoneHash() of its zone, also before its first report
-  base::Incarnation previous_life;  ///< of the agent; what still comes from it is late
+  std::uint32_t zone = 0;                  ///< ZoneHash() of its zone, also before its first report
+  base::Incarnation previous_incarnation;  ///< of the agent; what still comes from it is late
   base::TimePoint heard_at{};
   base::TimePoint reported_at{};          ///< its last whole report, which names the endpoint
   bool is_only_listed = false;            ///< by somebody else; not heard here
@@ -48,10 +48,11 @@
 /// Bounded by `limit` agents; when full, agents not known yet are ignored. Not thread-safe.
 class AgentDirectory {
  public:
-  /// @param fresh_for  how long a report speaks for the agent's present state, at least; longer for
+  /// @param report_lifetime  how long a report speaks for the agent's present state, at least;
+  /// longer for
   ///                   agents that say that they report less often
-  AgentDirectory(std::size_t limit, base::Duration fresh_for)
-      : m_limit(limit), m_fresh_for(fresh_for) {}
+  AgentDirectory(std::size_t limit, base::Duration report_lifetime)
+      : m_limit(limit), m_fresh_for(report_lifetime) {}
 
   ReportOutcome Take(const base::SocketAddress& address, const AgentReport& report,
                      base::TimePoint now);
@@ -68,7 +69,7 @@
   static void NoteOpening(KnownAgent& agent, base::TimePoint now);
 
   /// Notes a sign of life other than a report.
-  void NoteLife(const base::SocketAddress& address);
+  void NoteActivity(const base::SocketAddress& address);
 
   /// Returns how long an agent may be silent before it is taken for gone: `least`, or longer where
   /// it says that it reports less often.
--- a/libs/placement/include/gaugevalve/placement/balancer_core.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_core.h
@@ -14,8 +14,8 @@
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/placement/agent_directory.h"
 #include "gaugevalve/placement/agent_discovery.h"
-#include "gaugevalve/placement/agent_questions.h"
-#include "gaugevalve/placement/dead_flows.h"
+#include "gaugevalve/placement/agent_queries.h"
+#include "gaugevalve/placement/dead_flow_queue.h"
 #include "gaugevalve/placement/endpoint_chooser.h"
 #include "gaugevalve/placement/evacuated_zones.h"
 #include "gaugevalve/placement/flow_packet.h"
@@ -29,14 +29,14 @@
   std::string zone;
   std::size_t flow_limit = 200'000;  ///< flows remembered; more are searched for at each packet
   std::size_t agent_limit = 8'192;
-  base::Duration fresh_for = std::chrono::milliseconds(800);  ///< life of a report
+  base::Duration report_lifetime = std::chrono::milliseconds(800);  ///< life of a report
   /// A balancer this young doesn't know all agents yet: it drops where it would reset. It goes on
   /// learning until AgentDiscovery has found all, for `silence_limit` at most.
   base::Duration learning_time = std::chrono::milliseconds(700);
   /// An agent not heard for this long is no longer taken for the holder of a flow.
   base::Duration silence_limit = std::chrono::seconds(4);
   /// A flow without a packet for this long is forgotten, at least; see RouteTable::idle_timeout.
-  base::Duration flow_memory = std::chrono::seconds(60);
+  base::Duration flow_retention = std::chrono::seconds(60);
 };
 
 enum class BalancerVerdict : std::uint8_t { kForward, kReset, kDrop };
@@ -91,7 +91,7 @@
 
   /// Takes which zones are evacuated: their endpoints get no new flow.
   /// @return  whether the zones have changed
-  bool TakeEvacuated(const EvacuatedZones& evacuated) { return m_evacuated.Take(evacuated); }
+  bool ApplyEvacuatedZones(const EvacuatedZones& evacuated) { return m_evacuated.Take(evacuated); }
   const EvacuatedZones& Evacuated() const { return m_evacuated; }
 
   /// A packet that came from a client.
@@ -104,8 +104,8 @@
   /// An agent says that its endpoint holds a flow that was searched for.
   /// @param service  of that endpoint; the agent may not have reported yet
   /// @return  whether that wasn't what the balancer believed
-  bool OnHolding(const FlowKey& flow, const base::SocketAddress& agent, base::ServiceId service,
-                 base::TimePoint now);
+  bool OnHolderNotice(const FlowKey& flow, const base::SocketAddress& agent,
+                      base::ServiceId service, base::TimePoint now);
 
   ReportOutcome OnReport(const base::SocketAddress& address, const AgentReport& report,
                          base::TimePoint now);
@@ -133,7 +133,7 @@
 
   /// The flows whose agents were given up, together with their machines as far as this balancer can
   /// tell, and whose clients are silent: they are to be reset.
-  DeadFlows& DeadOnes() { return m_dead; }
+  DeadFlowQueue& FlowsToReset() { return m_dead; }
 
   /// Returns whether the process has just started or woken from a pause: what it receives may have
   /// waited in its sockets for as long as it stood still.
@@ -235,7 +235,7 @@
   base::RandomSource& m_random;
   AgentDirectory m_agents;
   AgentDiscovery m_discovery;
-  AgentQuestions m_suspects;                        // agents that packets seem to be lost at
+  AgentQueries m_suspects;                          // agents that packets seem to be lost at
   std::vector<base::SocketAddress> m_new_suspects;  // to be asked at once
   bool m_has_learned = false;                       // since the start or the last pause
   EndpointChooser m_chooser;
@@ -244,7 +244,7 @@
   // Services that ever stood behind an address: open flows stay where they are.
   absl::flat_hash_map<base::SocketAddress, std::vector<base::ServiceId>> m_past_services;
   absl::flat_hash_map<FlowKey, FlowRecord> m_flows;
-  DeadFlows m_dead;
+  DeadFlowQueue m_dead;
   FlowRecovery m_recovery;
   FlowRecord m_overflow;         // stands in for a record when there is no room
   base::TimePoint m_started_at;  // or woken from a pause
--- a/libs/placement/include/gaugevalve/placement/balancer_gossip.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_gossip.h
@@ -46,11 +46,11 @@
                                            bool& is_new);
 
   /// Returns the greeting of an agent that has just been heard for the first time in its life.
-  OutgoingGreeting WelcomeAgent(const KnownAgent& agent, base::TimePoint now);
+  OutgoingGreeting GreetNewAgent(const KnownAgent& agent, base::TimePoint now);
 
   /// Takes the agents that another agent names. @return  questions to those not heard yet
-  std::vector<OutgoingGreeting> OnFellows(std::span<const ListedAgent> fellows,
-                                          base::TimePoint now);
+  std::vector<OutgoingGreeting> OnNamedAgents(std::span<const ListedAgent> fellows,
+                                              base::TimePoint now);
 
   /// Takes the agents that the store names. @return  questions to those not heard yet
   std::vector<OutgoingGreeting> OnAgentListing(const AgentListing& listing, base::TimePoint now);
--- a/libs/placement/include/gaugevalve/placement/dead_flows.h
+++ b/libs/placement/include/gaugevalve/placement/dead_flow_queue.h
@@ -22,11 +22,11 @@
 /// Paces the resets of dead flows. A client may hold a flow open and idle long after its endpoint
 /// has gone, and what it then sends on it is lost; told in time, it opens another one. Answers the
 /// load at which many flows die at once. Bounded. Not thread-safe.
-class DeadFlows {
+class DeadFlowQueue {
  public:
   /// Flows that wait for their reset. More are left to their clients, who find out by themselves.
   static constexpr std::size_t kLimit = 16'384;
-  /// Resets in one TakeSome(). Taken 20 times a second these are 4,000 resets of 36 bytes, 1.2
+  /// Resets in one TakeBatch(). Taken 20 times a second these are 4,000 resets of 36 bytes, 1.2
   /// Mbit/s: an eighth of the narrowest links in use.
   static constexpr std::size_t kAtOnce = 200;
 
@@ -34,7 +34,7 @@
   bool Add(const DeadFlow& dead);
 
   /// Takes the next ones.
-  std::vector<DeadFlow> TakeSome();
+  std::vector<DeadFlow> TakeBatch();
 
   std::size_t Waiting() const { return m_waiting.size(); }
   std::uint64_t Total() const { return m_total; }
--- a/libs/placement/include/gaugevalve/placement/evacuated_zones.h
+++ b/libs/placement/include/gaugevalve/placement/evacuated_zones.h
@@ -15,7 +15,7 @@
 /// evacuation nor its end is lost or undone by a node that was away. Open flows aren't touched.
 struct EvacuatedZones {
   /// More than this are refused where they are read: each datagram of control carries the list.
-  static constexpr std::size_t kMostZones = 32;
+  static constexpr std::size_t kMaxZones = 32;
 
   std::uint64_t version = 0;       ///< rises with each reading of the operator's word; 0: not known
   std::vector<std::string> zones;  ///< sorted, each once
--- a/libs/placement/include/gaugevalve/placement/flow_snapshot.h
+++ b/libs/placement/include/gaugevalve/placement/flow_snapshot.h
@@ -17,7 +17,7 @@
 #include "gaugevalve/base/socket_address.h"
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/placement/agent_report.h"
-#include "gaugevalve/placement/dead_flows.h"
+#include "gaugevalve/placement/dead_flow_queue.h"
 #include "gaugevalve/placement/flow_packet.h"
 
 namespace gaugevalve::placement {
--- a/libs/placement/include/gaugevalve/placement/forward_header.h
+++ b/libs/placement/include/gaugevalve/placement/forward_header.h
@@ -18,11 +18,11 @@
 
 /// What follows a header.
 enum class MessageKind : std::uint8_t {
-  kForward = 1,   ///< a client's packet for the endpoint beside the agent
-  kReturned = 2,  ///< the same packet, which the agent or its endpoint didn't take
-  kHolding = 3,   ///< head of a packet of a flow that the agent's endpoint was seen to hold
-  kControl = 4,   ///< a NodeMessage (protobuf)
-  kLoad = 5,      ///< a LoadNotice
+  kForward = 1,       ///< a client's packet for the endpoint beside the agent
+  kReturned = 2,      ///< the same packet, which the agent or its endpoint didn't take
+  kHolderNotice = 3,  ///< head of a packet of a flow that the agent's endpoint was seen to hold
+  kControl = 4,       ///< a NodeMessage (protobuf)
+  kLoad = 5,          ///< a LoadNotice
 };
 
 /// Why an agent returned a packet.
@@ -66,7 +66,7 @@
 /// The way of a packet whose flow's holder is searched for: agents pass it on among themselves, so
 /// that a search costs its balancer one packet.
 struct SearchRoute {
-  static constexpr std::size_t kMostAgents = 48;
+  static constexpr std::size_t kMaxAgents = 48;
 
   base::SocketAddress origin;             ///< the balancer that searches
   std::vector<base::SocketAddress> next;  ///< agents to ask after this one, in order
--- a/libs/placement/include/gaugevalve/placement/route_table.h
+++ b/libs/placement/include/gaugevalve/placement/route_table.h
@@ -48,10 +48,10 @@
       warm_up_rates;  ///< of services that say what their cold endpoints bear
 
   absl::flat_hash_map<base::ServiceId, std::vector<RequestClass>>
-      classes;  ///< of the routes to each service, each once; see NoteClasses()
+      classes;  ///< of the routes to each service, each once; see CollectClasses()
 
   /// Fills `classes` from the routes. Call when all are there.
-  void NoteClasses();
+  void CollectClasses();
 
   /// Returns the route of a virtual address, or null.
   const Route* Find(const base::SocketAddress& address) const;
--- a/libs/placement/include/gaugevalve/placement/store_reader_role.h
+++ b/libs/placement/include/gaugevalve/placement/store_reader_role.h
@@ -60,7 +60,7 @@
   bool TakeNews();
 
   /// Returns how long a watch may wait in a deployment of few readers.
-  base::Duration WatchTime() const;
+  base::Duration WatchTimeout() const;
 
  private:
   void NoteHeard(base::TimePoint heard_at);
--- a/libs/placement/include/gaugevalve/placement/stored_listing.h
+++ b/libs/placement/include/gaugevalve/placement/stored_listing.h
@@ -17,7 +17,7 @@
 class StoredListing {
  public:
   /// Agents that a listing names at most: 4 KB. Each of them knows others.
-  static constexpr std::size_t kMostAgents = 256;
+  static constexpr std::size_t kMaxAgents = 256;
 
   /// Notes that the store has taken the listing.
   void NoteStored(const AgentListing& listing);
--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -22,7 +22,7 @@
 constexpr base::Duration kQuietTime = std::chrono::milliseconds(300);
 // A suspect that answers nothing for this part of the silence limit is no longer taken for the
 // holder of a flow. Half: restarted agents were back within 0.57 s, by plan, and 0.85 s after total
-// stops (logs, docs/design/0018 and AgentQuestions::kRetryPause), and each client
+// stops (logs, docs/design/0018 and AgentQueries::kRetryPause), and each client
 // of a flow that has gone waits for it.
 constexpr int kSuspectPart = 2;
 
@@ -30,7 +30,7 @@
 unsigned SuspectQuestions(base::Duration silence_limit) {
   constexpr unsigned kLeast = 4;  // some may be lost
   const auto count =
-      static_cast<unsigned>(silence_limit / kSuspectPart / AgentQuestions::kRetryPause);
+      static_cast<unsigned>(silence_limit / kSuspectPart / AgentQueries::kRetryPause);
   return std::max(kLeast, count);
 }
 
@@ -63,7 +63,7 @@
                            base::TimePoint now)
     : m_settings(std::move(settings)),
       m_random(random),
-      m_agents(m_settings.agent_limit, m_settings.fresh_for),
+      m_agents(m_settings.agent_limit, m_settings.report_lifetime),
       m_suspects(SuspectQuestions(m_settings.silence_limit)),
       m_chooser(m_settings.zone, random),
       m_started_at(now),
@@ -339,11 +339,12 @@
     return;
   }
   m_swept_at = now;
-  const base::Duration idle = std::min(m_settings.flow_memory, m_routes.idle_timeout + kIdleSlack);
+  const base::Duration idle =
+      std::min(m_settings.flow_retention, m_routes.idle_timeout + kIdleSlack);
   absl::erase_if(m_flows, [&](const auto& entry) { return now - entry.second.last_packet > idle; });
   NoteDeadFlows(now);
   m_recovery.Tick(now);
-  m_agents.ForgetSilent(m_settings.flow_memory, now);
+  m_agents.ForgetSilent(m_settings.flow_retention, now);
   const auto is_gone = [this](const base::SocketAddress& agent) {
     return m_agents.Find(agent) == nullptr;
   };
--- a/libs/placement/src/balancer_gossip.cpp
+++ b/libs/placement/src/balancer_gossip.cpp
@@ -83,7 +83,7 @@
   if (is_new || names_agents || !greetings.empty()) {
     m_news_at = now;
   }
-  if (m_core.TakeEvacuated(greeting.evacuated)) {
+  if (m_core.ApplyEvacuatedZones(greeting.evacuated)) {
     TellSomePeers(kPeersToldNews, now, greetings);
   }
   const bool is_timely = !m_core.HasJustWoken(now);
@@ -106,8 +106,8 @@
   }
 }
 
-std::vector<OutgoingGreeting> BalancerGossip::OnFellows(std::span<const ListedAgent> fellows,
-                                                        base::TimePoint now) {
+std::vector<OutgoingGreeting> BalancerGossip::OnNamedAgents(std::span<const ListedAgent> fellows,
+                                                            base::TimePoint now) {
   std::vector<OutgoingGreeting> greetings;
   AskListed(fellows, now, greetings);
   return greetings;
@@ -116,7 +116,7 @@
 std::vector<OutgoingGreeting> BalancerGossip::OnAgentListing(const AgentListing& listing,
                                                              base::TimePoint now) {
   m_core.Discovery().NoteAgentCount(listing.agent_count);
-  return OnFellows(listing.agents, now);
+  return OnNamedAgents(listing.agents, now);
 }
 
 AgentListing BalancerGossip::MakeAgentListing(base::TimePoint now) {
@@ -124,13 +124,13 @@
   std::erase_if(agents,
                 [&](const ListedAgent& agent) { return m_core.IsGone(agent.address, now); });
   const std::size_t count = agents.size();
-  return {Sample(std::move(agents), StoredListing::kMostAgents, m_random), count};
+  return {Sample(std::move(agents), StoredListing::kMaxAgents, m_random), count};
 }
 
-OutgoingGreeting BalancerGossip::WelcomeAgent(const KnownAgent& agent, base::TimePoint now) {
+OutgoingGreeting BalancerGossip::GreetNewAgent(const KnownAgent& agent, base::TimePoint now) {
   OutgoingGreeting welcome{agent.address, ForAgent(agent, now)};
-  const bool asks = m_core.IsLearning(now) &&
-                    m_core.Discovery().TakeFellowsQuestion(m_core.Agents().HeardCount());
+  const bool asks =
+      m_core.IsLearning(now) && m_core.Discovery().TakePeerListQuery(m_core.Agents().HeardCount());
   welcome.greeting.wants_answer = asks;
   welcome.greeting.wants_fellows = asks;
   if (agent.report.wants_memory && agent.memory) {
@@ -220,10 +220,10 @@
 std::vector<OutgoingGreeting> BalancerGossip::Tick(base::TimePoint now) {
   m_balancers.ForgetSilent(kForgetAfter, now);
   std::vector<OutgoingGreeting> greetings = AskSuspects(now);
-  for (const base::SocketAddress& agent : m_core.Discovery().TakeQuestions(now)) {
+  for (const base::SocketAddress& agent : m_core.Discovery().TakeDueQueries(now)) {
     greetings.push_back(AskAgent(agent, now));
   }
-  if (m_core.IsLearning(now) && m_core.Discovery().MissesNames(m_core.Agents().HeardCount())) {
+  if (m_core.IsLearning(now) && m_core.Discovery().HasUnnamedAgents(m_core.Agents().HeardCount())) {
     for (const ListedAgent& agent : Sample(ListAgents(), kAgentsAskedAgain, m_random)) {
       greetings.push_back({agent.address, Brief(true, now)});
       greetings.back().greeting.wants_fellows = true;
--- a/libs/placement/src/balancer_search.cpp
+++ b/libs/placement/src/balancer_search.cpp
@@ -136,7 +136,7 @@
     const bool may_follow = IsResponsive(*order.front(), now) && IsResponsive(agent, now) &&
                             agent.report.standing != EndpointStanding::kStopping &&
                             agent.report.service == record.service;
-    if (may_follow && record.route.size() < SearchRoute::kMostAgents) {
+    if (may_follow && record.route.size() < SearchRoute::kMaxAgents) {
       record.route.push_back(agent.address);
     }
   }
@@ -159,7 +159,7 @@
                                                 const base::SocketAddress& agent,
                                                 base::TimePoint now) {
   NoticePause(now);
-  m_agents.NoteLife(agent);
+  m_agents.NoteActivity(agent);
   m_suspects.NoteHeard(agent);
   const Route* route = m_routes.Find(packet.flow.destination);
   if (route == nullptr) {
@@ -225,10 +225,10 @@
   AddOnce(record.refused, agent);
 }
 
-bool BalancerCore::OnHolding(const FlowKey& flow, const base::SocketAddress& agent,
-                             base::ServiceId service, base::TimePoint now) {
+bool BalancerCore::OnHolderNotice(const FlowKey& flow, const base::SocketAddress& agent,
+                                  base::ServiceId service, base::TimePoint now) {
   NoticePause(now);
-  m_agents.NoteLife(agent);
+  m_agents.NoteActivity(agent);
   m_suspects.NoteHeard(agent);
   FlowRecord& record = *Remember(flow);
   const bool is_news = record.agent != agent || !record.refused.empty();
--- a/libs/placement/src/dead_flows.cpp
+++ b/libs/placement/src/dead_flow_queue.cpp
@@ -1,10 +1,10 @@
-#include "gaugevalve/placement/dead_flows.h"
+#include "gaugevalve/placement/dead_flow_queue.h"
 
 #include <algorithm>
 
 namespace gaugevalve::placement {
 
-bool DeadFlows::Add(const DeadFlow& dead) {
+bool DeadFlowQueue::Add(const DeadFlow& dead) {
   if (m_waiting.size() >= kLimit) {
     return false;
   }
@@ -13,7 +13,7 @@
   return true;
 }
 
-std::vector<DeadFlow> DeadFlows::TakeSome() {
+std::vector<DeadFlow> DeadFlowQueue::TakeBatch() {
   const auto count = static_cast<std::ptrdiff_t>(std::min(kAtOnce, m_waiting.size()));
   std::vector<DeadFlow> some(m_waiting.begin(), m_waiting.begin() + count);
   m_waiting.erase(m_waiting.begin(), m_waiting.begin() + count);
--- a/libs/placement/src/forward_header.cpp
+++ b/libs/placement/src/forward_header.cpp
@@ -50,7 +50,7 @@
 
 std::vector<std::uint8_t> EncodeSearch(const ForwardHeader& header, const SearchRoute& route) {
   const auto head = EncodeForwardHeader(header);
-  const std::size_t count = std::min(route.next.size(), SearchRoute::kMostAgents);
+  const std::size_t count = std::min(route.next.size(), SearchRoute::kMaxAgents);
   std::vector<std::uint8_t> bytes(head.begin(), head.end());
   bytes.resize(ForwardHeader::kSize + kRouteHeadSize + count * kAddressSize);
   const std::span<std::uint8_t> body = std::span(bytes).subspan(ForwardHeader::kSize);
@@ -68,7 +68,7 @@
   }
   const std::size_t count = bytes[kAddressSize];
   const std::size_t size = kRouteHeadSize + count * kAddressSize;
-  if (count > SearchRoute::kMostAgents || bytes.size() < size) {
+  if (count > SearchRoute::kMaxAgents || bytes.size() < size) {
     return std::nullopt;
   }
   SearchRoute route;
--- a/libs/placement/src/node_message.cpp
+++ b/libs/placement/src/node_message.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint32_t kMostMilliseconds = 3'600'000;  // an hour; more is malformed
 constexpr std::size_t kMostText = 200;                  // bytes of a zone's or endpoint's name
 constexpr unsigned kPortBits = 16;
-constexpr std::uint32_t kMostAgents = 100'000;  // that a balancer may say it knows
+constexpr std::uint32_t kMaxAgents = 100'000;  // that a balancer may say it knows
 
 std::uint32_t ToMilliseconds(base::Duration duration) {
   const auto count = duration_cast<milliseconds>(duration).count();
@@ -56,7 +56,7 @@
 // A list that is too long, or has names that are, says nothing.
 EvacuatedZones ReadEvacuated(const proto::EvacuatedZones& message) {
   const bool has_fault =
-      static_cast<std::size_t>(message.zones_size()) > EvacuatedZones::kMostZones ||
+      static_cast<std::size_t>(message.zones_size()) > EvacuatedZones::kMaxZones ||
       std::any_of(message.zones().begin(), message.zones().end(),
                   [](const std::string& zone) { return zone.size() > kMostText; });
   return has_fault
@@ -75,7 +75,7 @@
 HeldAddresses ReadHeld(const proto::AgentReport& message) {
   HeldAddresses held;
   const auto count = std::min<std::size_t>(static_cast<std::size_t>(message.held_addresses_size()),
-                                           HeldAddresses::kMost);
+                                           HeldAddresses::kMaxAddresses);
   for (std::size_t index = 0; index < count; ++index) {
     const std::uint64_t number = message.held_addresses(static_cast<int>(index));
     held.addresses.push_back(base::SocketAddress::Ipv4(
@@ -144,7 +144,7 @@
   report.period = FromMilliseconds(message.period_ms());
   report.wants_memory = message.wants_memory();
   report.is_ejected = message.is_ejected();
-  report.agent_count = std::min(message.agent_count(), kMostAgents);
+  report.agent_count = std::min(message.agent_count(), kMaxAgents);
   report.routes_version = message.routes_version();
   report.evacuated = ReadEvacuated(message.evacuated());
   report.held = ReadHeld(message);
@@ -225,7 +225,7 @@
     greeting.memory = ReadReport(message.memory(), port);
     greeting.memory_age = FromMilliseconds(message.memory_age_ms());
   }
-  greeting.agent_count = std::min(message.agent_count(), kMostAgents);
+  greeting.agent_count = std::min(message.agent_count(), kMaxAgents);
   greeting.wants_fellows = message.wants_fellows();
   greeting.is_learning = message.is_learning();
   if (message.store_age_ms_and_one() > 0) {
@@ -262,7 +262,7 @@
   for (const proto::KnownNode& node : message.agents()) {
     listing.agents.push_back(ReadListed(node, port));
   }
-  listing.agent_count = std::min(message.agent_count(), kMostAgents);
+  listing.agent_count = std::min(message.agent_count(), kMaxAgents);
   return listing;
 }
 
--- a/libs/placement/src/route_table.cpp
+++ b/libs/placement/src/route_table.cpp
@@ -29,7 +29,7 @@
   return services.back().service;
 }
 
-void RouteTable::NoteClasses() {
+void RouteTable::CollectClasses() {
   classes.clear();
   for (const auto& [address, route] : routes) {
     for (const WeightedService& part : route.services) {
--- a/libs/placement/src/store_reader_role.cpp
+++ b/libs/placement/src/store_reader_role.cpp
@@ -47,7 +47,7 @@
   return !m_heard_at || now - *m_heard_at > PartOf(m_settings.change_limit, kStalePercent);
 }
 
-base::Duration StoreReaderRole::WatchTime() const {
+base::Duration StoreReaderRole::WatchTimeout() const {
   return PartOf(m_settings.change_limit, kWatchPercent);
 }
 
--- a/libs/placement/src/stored_listing.cpp
+++ b/libs/placement/src/stored_listing.cpp
@@ -25,7 +25,7 @@
 }
 
 bool StoredListing::IsNumberOutdated(std::size_t agent_count) const {
-  const bool has_room = m_named.size() < kMostAgents;
+  const bool has_room = m_named.size() < kMaxAgents;
   if (has_room) {
     return agent_count != m_named.size();
   }
--- a/libs/placement/tests/balancer_core_test.cpp
+++ b/libs/placement/tests/balancer_core_test.cpp
@@ -451,7 +451,7 @@
     Start();
     Hear(1);
     Send(Opening(Flow(1)));
-    m_core->Agents().NoteLife(Node(1));
+    m_core->Agents().NoteActivity(Node(1));
     m_now += std::chrono::milliseconds(600);
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
   }
@@ -460,8 +460,8 @@
     Start();
     HearThree();
     const base::SocketAddress holder = Send(Data(Flow(1), 101)).route.back();
-    CPPUNIT_ASSERT(m_core->OnHolding(Flow(1), holder, orders_service, m_now));
-    CPPUNIT_ASSERT(!m_core->OnHolding(Flow(1), holder, orders_service, m_now));
+    CPPUNIT_ASSERT(m_core->OnHolderNotice(Flow(1), holder, orders_service, m_now));
+    CPPUNIT_ASSERT(!m_core->OnHolderNotice(Flow(1), holder, orders_service, m_now));
     const BalancerDecision decision = Send(Data(Flow(1), 111));
     Expect(BalancerVerdict::kForward, BalancerReason::kRemembered, decision);
     CPPUNIT_ASSERT_EQUAL(holder, decision.agent);
@@ -471,7 +471,7 @@
   // Found by placement_proof: the record's service was unknown, so the holder returned the packet.
   void AHolderIsBelievedBeforeItsFirstReport() {
     Start();
-    m_core->OnHolding(Flow(1), Node(3), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     const BalancerDecision decision = Send(Data(Flow(1), 111));
     Expect(BalancerVerdict::kForward, BalancerReason::kRemembered, decision);
     CPPUNIT_ASSERT(orders_service == decision.header.service);
@@ -496,7 +496,7 @@
   void AHolderThatLostTheFlowEndsIt() {
     Start();
     HearThree();
-    m_core->OnHolding(Flow(1), Node(3), orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
     const BalancerDecision decision =
         Return(Data(Flow(1), 111), Send(Data(Flow(1), 111)), ReturnReason::kNotHeld);
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, decision);
--- a/libs/placement/tests/balancer_gossip_test.cpp
+++ b/libs/placement/tests/balancer_gossip_test.cpp
@@ -229,7 +229,7 @@
     restarted.wants_memory = true;
     m_core->OnReport(Node(kFirstAgent), restarted, At(1000));
     const KnownAgent* agent = m_core->Agents().Find(Node(kFirstAgent));
-    const OutgoingGreeting welcome = m_gossip->WelcomeAgent(*agent, At(1500));
+    const OutgoingGreeting welcome = m_gossip->GreetNewAgent(*agent, At(1500));
     CPPUNIT_ASSERT(welcome.greeting.memory.has_value());
     CPPUNIT_ASSERT(welcome.greeting.memory_age == std::chrono::milliseconds(1500));
   }
--- a/libs/placement/tests/dead_flows_test.cpp
+++ b/libs/placement/tests/dead_flow_queue_test.cpp
@@ -1,5 +1,5 @@
 // Flows whose endpoint has gone: which are reset, and which never.
-#include "gaugevalve/placement/dead_flows.h"
+#include "gaugevalve/placement/dead_flow_queue.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -56,18 +56,18 @@
   }
 
   void ResetsArePaced() {
-    DeadFlows dead;
-    for (std::uint16_t port = 0; port < DeadFlows::kAtOnce + 5; ++port) {
+    DeadFlowQueue dead;
+    for (std::uint16_t port = 0; port < DeadFlowQueue::kAtOnce + 5; ++port) {
       CPPUNIT_ASSERT(dead.Add({Flow(port), 1}));
     }
-    CPPUNIT_ASSERT_EQUAL(DeadFlows::kAtOnce, dead.TakeSome().size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, dead.TakeSome().size());
-    CPPUNIT_ASSERT(dead.TakeSome().empty());
+    CPPUNIT_ASSERT_EQUAL(DeadFlowQueue::kAtOnce, dead.TakeBatch().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, dead.TakeBatch().size());
+    CPPUNIT_ASSERT(dead.TakeBatch().empty());
   }
 
   void TheListIsBounded() {
-    DeadFlows dead;
-    for (std::size_t count = 0; count < DeadFlows::kLimit; ++count) {
+    DeadFlowQueue dead;
+    for (std::size_t count = 0; count < DeadFlowQueue::kLimit; ++count) {
       CPPUNIT_ASSERT(dead.Add({Flow(static_cast<std::uint16_t>(count)), 1}));
     }
     CPPUNIT_ASSERT(!dead.Add({Flow(1), 1}));
@@ -78,7 +78,7 @@
     OpenAtAgent(2);
     m_now += seconds(2);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_agent->NoteEndpointGone(m_now));
-    const std::vector<DeadFlow> dead = m_agent->DeadOnes().TakeSome();
+    const std::vector<DeadFlow> dead = m_agent->FlowsToReset().TakeBatch();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, dead.size());
     CPPUNIT_ASSERT_EQUAL(5000U, dead.front().acknowledged);
   }
@@ -173,7 +173,7 @@
       m_balancer->OnReport(Node(1), Report(++m_sequence), m_now);
     }
     m_balancer->Tick(m_now);
-    for (const DeadFlow& dead : m_balancer->DeadOnes().TakeSome()) {
+    for (const DeadFlow& dead : m_balancer->FlowsToReset().TakeBatch()) {
       m_reset.push_back(dead);
     }
   }
--- a/libs/placement/tests/evacuated_zones_test.cpp
+++ b/libs/placement/tests/evacuated_zones_test.cpp
@@ -77,7 +77,7 @@
 
   void AListThatIsTooLongSaysNothing() {
     BalancerGreeting greeting;
-    greeting.evacuated = {9, std::vector<std::string>(EvacuatedZones::kMostZones + 1, "east")};
+    greeting.evacuated = {9, std::vector<std::string>(EvacuatedZones::kMaxZones + 1, "east")};
     CPPUNIT_ASSERT(std::get<BalancerGreeting>(*Transfer(greeting)).evacuated == EvacuatedZones{});
     greeting.evacuated = {9, {std::string(201, 'x')}};
     CPPUNIT_ASSERT(std::get<BalancerGreeting>(*Transfer(greeting)).evacuated == EvacuatedZones{});
@@ -87,7 +87,7 @@
     Hear(1, "east", 0);
     Hear(2, "west", 3);
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
-    CPPUNIT_ASSERT(m_core->TakeEvacuated({5, {"east"}}));
+    CPPUNIT_ASSERT(m_core->ApplyEvacuatedZones({5, {"east"}}));
     for (std::uint16_t port = 2; port < 12; ++port) {
       CPPUNIT_ASSERT_EQUAL(Node(2), Send(Opening(Flow(port))).agent);
     }
@@ -97,7 +97,7 @@
     Hear(1, "east", 0);
     Send(Opening(Flow(1)));
     Hear(2, "west", 0);
-    m_core->TakeEvacuated({5, {"east"}});
+    m_core->ApplyEvacuatedZones({5, {"east"}});
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(1), 101)).agent);
   }
 
@@ -105,13 +105,13 @@
     Hear(1, "east", 0);
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
     Hear(2, "west", 0);
-    m_core->TakeEvacuated({5, {"east"}});
+    m_core->ApplyEvacuatedZones({5, {"east"}});
     CPPUNIT_ASSERT_EQUAL(Node(2), Send(Opening(Flow(1))).agent);
   }
 
   void WithoutAnotherZoneAFlowIsRefusedAtOnce() {
     Hear(1, "east", 0);
-    m_core->TakeEvacuated({5, {"east"}});
+    m_core->ApplyEvacuatedZones({5, {"east"}});
     const BalancerDecision decision = Send(Opening(Flow(1)));
     CPPUNIT_ASSERT(decision.verdict == BalancerVerdict::kReset);
     CPPUNIT_ASSERT(decision.reason == BalancerReason::kNoEndpoint);
@@ -122,7 +122,7 @@
     report.is_ejected = true;
     m_core->OnReport(Node(1), report, m_now);
     CPPUNIT_ASSERT(Send(Opening(Flow(1))).verdict == BalancerVerdict::kForward);
-    m_core->TakeEvacuated({5, {"east"}});
+    m_core->ApplyEvacuatedZones({5, {"east"}});
     CPPUNIT_ASSERT(Send(Opening(Flow(2))).verdict == BalancerVerdict::kReset);
   }
 
@@ -132,15 +132,15 @@
     m_core->OnReport(Node(9), Report(1, 0, EndpointStanding::kLeaving), m_now);
     m_core->NoteListed({Node(1), orders_service}, m_now);
     CPPUNIT_ASSERT(Send(Opening(Flow(1))).verdict == BalancerVerdict::kForward);
-    m_core->TakeEvacuated({5, {"east"}});
+    m_core->ApplyEvacuatedZones({5, {"east"}});
     CPPUNIT_ASSERT(Send(Opening(Flow(2))).verdict == BalancerVerdict::kDrop);
   }
 
   void AZoneTakenBackIsUsedAtOnce() {
     Hear(1, "east", 0);
-    m_core->TakeEvacuated({5, {"east"}});
+    m_core->ApplyEvacuatedZones({5, {"east"}});
     CPPUNIT_ASSERT(Send(Opening(Flow(1))).verdict == BalancerVerdict::kReset);
-    CPPUNIT_ASSERT(m_core->TakeEvacuated({8, {}}));
+    CPPUNIT_ASSERT(m_core->ApplyEvacuatedZones({8, {}}));
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
   }
 
@@ -150,20 +150,20 @@
     ForwardHeader header;
     header.service = orders_service;
     CPPUNIT_ASSERT(Forward(agent, Opening(Flow(1)), header).verdict == AgentVerdict::kDeliver);
-    CPPUNIT_ASSERT(agent.TakeEvacuated({5, {"east"}}, m_now));
+    CPPUNIT_ASSERT(agent.ApplyEvacuatedZones({5, {"east"}}, m_now));
     header.must_accept = true;
     const AgentDecision decision = Forward(agent, Opening(Flow(2)), header);
     CPPUNIT_ASSERT(decision.verdict == AgentVerdict::kReturn);
     CPPUNIT_ASSERT(decision.header.reason == ReturnReason::kEvacuated);
     CPPUNIT_ASSERT(Forward(agent, Data(Flow(1), 101), header).verdict == AgentVerdict::kDeliver);
-    agent.TakeEvacuated({6, {"west"}}, m_now);
+    agent.ApplyEvacuatedZones({6, {"west"}}, m_now);
     CPPUNIT_ASSERT(Forward(agent, Opening(Flow(2)), header).verdict == AgentVerdict::kDeliver);
   }
 
   // Agents outlive a loss of all balancers.
   void AnAgentTellsItsBalancers() {
     AgentCore agent = MakeAgent();
-    agent.TakeEvacuated({5, {"east"}}, m_now);
+    agent.ApplyEvacuatedZones({5, {"east"}}, m_now);
     CPPUNIT_ASSERT(agent.MakeReport(m_now).evacuated == (EvacuatedZones{5, {"east"}}));
   }
 
--- a/libs/placement/tests/flow_preference_test.cpp
+++ b/libs/placement/tests/flow_preference_test.cpp
@@ -124,7 +124,7 @@
     for (std::uint16_t port = 0; port < kFlows; ++port) {
       const bool has_gone = m_core->Agents().Find(holders[port]) == nullptr;
       still_there += has_gone ? 0 : 1;
-      found_first += !has_gone && StepsTo(holders[port], port) <= 2 * SearchRoute::kMostAgents;
+      found_first += !has_gone && StepsTo(holders[port], port) <= 2 * SearchRoute::kMaxAgents;
     }
     CPPUNIT_ASSERT(still_there > kFlows / 2);
     CPPUNIT_ASSERT_EQUAL(still_there, found_first);
--- a/libs/placement/tests/flow_snapshot_test.cpp
+++ b/libs/placement/tests/flow_snapshot_test.cpp
@@ -215,7 +215,7 @@
 
   void AFlowThatIsHeldElsewhereIsLeftAlone() {
     m_core->TakeSnapshot(std::vector<SavedFlow>{Saved(1)}, m_now);
-    m_core->OnHolding(Flow(1), Node(2), testing::orders_service, m_now);
+    m_core->OnHolderNotice(Flow(1), Node(2), testing::orders_service, m_now);
     Hear(kPresent);
     CPPUNIT_ASSERT(Reset().empty());
   }
@@ -304,7 +304,7 @@
     return m_core->OnReturnedPacket(packet, header, decision.agent, m_now);
   }
 
-  std::vector<DeadFlow> Reset() { return m_core->DeadOnes().TakeSome(); }
+  std::vector<DeadFlow> Reset() { return m_core->FlowsToReset().TakeBatch(); }
 
   base::RandomSource m_random{1};
   std::optional<BalancerCore> m_core;
--- a/libs/placement/tests/node_knowledge_test.cpp
+++ b/libs/placement/tests/node_knowledge_test.cpp
@@ -272,7 +272,7 @@
       CPPUNIT_ASSERT(!DecodeSearchRoute(cut, kNodePort).has_value());
     }
     std::vector<std::uint8_t> huge(400);
-    huge[4] = SearchRoute::kMostAgents + 1;
+    huge[4] = SearchRoute::kMaxAgents + 1;
     std::span<std::uint8_t> body_of_huge(huge);
     CPPUNIT_ASSERT(!DecodeSearchRoute(body_of_huge, kNodePort).has_value());
   }
--- a/libs/placement/tests/stored_listing_test.cpp
+++ b/libs/placement/tests/stored_listing_test.cpp
@@ -64,7 +64,7 @@
 
   void APartOfTheAgentsIsRenewedWhereTheirNumberChanges() {
     StoredListing stored;
-    AgentListing listing = Listing(StoredListing::kMostAgents);
+    AgentListing listing = Listing(StoredListing::kMaxAgents);
     listing.agent_count = 3'800;
     stored.NoteStored(listing);
     CPPUNIT_ASSERT(!stored.IsOutdated(3'850, IsNobody));
--- a/proofs/placement/src/placement_world.cpp
+++ b/proofs/placement/src/placement_world.cpp
@@ -69,7 +69,7 @@
 void PlacementWorld::MakeBalancer(std::size_t index) {
   placement::BalancerSettings settings;
   settings.learning_time = settings_.learning_time;
-  settings.fresh_for = std::chrono::seconds(1);
+  settings.report_lifetime = std::chrono::seconds(1);
   balancers_[index] = std::make_unique<placement::BalancerCore>(settings, random_, now_);
   balancers_[index]->SetRoutes(MakeRoutes());
 }
@@ -216,9 +216,9 @@
           balancers_[datagram.node]->OnReturnedPacket(datagram.packet, datagram.header,
                                                       AgentAddress(datagram.sender), now_));
       break;
-    case Hop::kHolding:
-      balancers_[datagram.node]->OnHolding(datagram.packet.flow, AgentAddress(datagram.sender),
-                                           datagram.header.service, now_);
+    case Hop::kHolderNotice:
+      balancers_[datagram.node]->OnHolderNotice(datagram.packet.flow, AgentAddress(datagram.sender),
+                                                datagram.header.service, now_);
       ++searches_ended_;
       break;
   }
@@ -241,7 +241,7 @@
                         {},
                         0,
                         0});
-  } else if (decision.verdict == AgentVerdict::kPassOn) {
+  } else if (decision.verdict == AgentVerdict::kForwardToNextAgent) {
     PassOn(datagram.packet, decision);
   } else if (decision.verdict == AgentVerdict::kDeliver) {
     // The way from an agent to the endpoint beside it keeps the order; it may still be late.
@@ -316,17 +316,23 @@
     network_.push_back(
         {Hop::kToBalancer, IndexOf(decision.balancer), agent, clean, decision.header, {}, 0, 0});
   }
-  if (decision.verdict == AgentVerdict::kPassOn) {
+  if (decision.verdict == AgentVerdict::kForwardToNextAgent) {
     PassOn(clean, decision);
   }
   if (decision.verdict != AgentVerdict::kToClient) {
     return;
   }
-  if (decision.searcher) {
+  if (decision.searching_balancer) {
     placement::ForwardHeader header;
     header.service = agents_[agent].endpoint.service;
-    network_.push_back(
-        {Hop::kHolding, IndexOf(*decision.searcher), agent, clean, header, {}, 0, 0});
+    network_.push_back({Hop::kHolderNotice,
+                        IndexOf(*decision.searching_balancer),
+                        agent,
+                        clean,
+                        header,
+                        {},
+                        0,
+                        0});
   }
   Flow& flow = FlowOf(packet);
   if (packet.is_synchronizing && flow.endpoint_sequence == 0) {
--- a/proofs/placement/src/placement_world.h
+++ b/proofs/placement/src/placement_world.h
@@ -82,7 +82,7 @@
     std::uint64_t life = 0;
   };
 
-  enum class Hop : std::uint8_t { kToAgent, kToBalancer, kToEndpoint, kHolding };
+  enum class Hop : std::uint8_t { kToAgent, kToBalancer, kToEndpoint, kHolderNotice };
 
   struct Datagram {
     Hop hop = Hop::kToAgent;
--- a/proofs/placement/src/reader_world.cpp
+++ b/proofs/placement/src/reader_world.cpp
@@ -115,7 +115,7 @@
   if (balancer.call_fails) {
     balancer.call_ends = now_ + (balancer.is_silent ? kCallTimeout : kReadTime);
   } else {
-    balancer.call_ends = now_ + (is_watch ? reader.WatchTime() : kReadTime);
+    balancer.call_ends = now_ + (is_watch ? reader.WatchTimeout() : kReadTime);
   }
 }
 
--- a/tools/lab/src/discovery_experiment.cpp
+++ b/tools/lab/src/discovery_experiment.cpp
@@ -149,7 +149,7 @@
                                                                   core.life, *agent.core);
       agent.core->Gate().Announce({.incarnation = {"endpoint"}, .capacity = 2, .sequence = 1},
                                   now_);
-      greeting.agents = SomeAgents(placement::FellowList::kLimit);
+      greeting.agents = SomeAgents(placement::PeerAgentList::kLimit);
       bool is_new = false;
       agent.reporter->OnGreeting(greeting, AddressOf(kFirstBalancer, 0), base::TimePoint(), is_new);
       agent.reporter->ReportInTurn(base::TimePoint());
@@ -294,10 +294,10 @@
   void Take(const Event& event, const placement::AgentReport& report) {
     Balancer& balancer = balancers_[event.node];
     const auto outcome = balancer.core->OnReport(event.sender, report, now_);
-    SendAll(event.node, balancer.gossip->OnFellows(report.fellows, now_));
+    SendAll(event.node, balancer.gossip->OnNamedAgents(report.fellows, now_));
     const placement::KnownAgent* agent = balancer.core->Agents().Find(event.sender);
     if (outcome == placement::ReportOutcome::kNew && agent != nullptr) {
-      SendAll(event.node, {balancer.gossip->WelcomeAgent(*agent, now_)});
+      SendAll(event.node, {balancer.gossip->GreetNewAgent(*agent, now_)});
     }
   }
 
