--- a/libs/placement/include/gaugevalve/placement/balancer_core.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// A balancer's decisions: which agent gets each packet of a client.
+/// Balancer decision core: selects the agent to which each client packet is forwarded.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -27,15 +27,19 @@
 
 struct BalancerSettings {
   std::string zone;
-  std::size_t flow_limit = 200'000;  ///< flows remembered; more are searched for at each packet
+  /// Maximum number of flow records. The holder of a flow without a record is searched for at each
+  /// of its packets.
+  std::size_t flow_limit = 200'000;
   std::size_t agent_limit = 8'192;
-  base::Duration report_lifetime = std::chrono::milliseconds(800);  ///< life of a report
-  /// A balancer this young doesn't know all agents yet: it drops where it would reset. It goes on
-  /// learning until AgentDiscovery has found all, for `silence_limit` at most.
+  base::Duration report_lifetime = std::chrono::milliseconds(800);  ///< how long a report counts
+  /// Minimum time after the start in which the balancer is learning: it may not know all agents
+  /// yet, so it drops packets whose flow it would otherwise reset. It continues to learn until
+  /// AgentDiscovery has found all agents, for at most `silence_limit`.
   base::Duration learning_time = std::chrono::milliseconds(700);
-  /// An agent not heard for this long is no longer taken for the holder of a flow.
+  /// An agent that has been silent for this long no longer counts as the holder of a flow.
   base::Duration silence_limit = std::chrono::seconds(4);
-  /// A flow without a packet for this long is forgotten, at least; see RouteTable::idle_timeout.
+  /// A flow record without a packet for this long is removed; a shorter RouteTable::idle_timeout
+  /// removes it earlier.
   base::Duration flow_retention = std::chrono::seconds(60);
 };
 
@@ -44,20 +48,20 @@
 /// Returns the verdict's name for logs.
 const char* BalancerVerdictName(BalancerVerdict verdict);
 
-/// Why a packet was reset or dropped, or how its agent was found.
+/// Why a packet's flow was reset or the packet dropped, or how the packet's agent was found.
 enum class BalancerReason : std::uint8_t {
-  kRemembered,     ///< the flow's agent is known
-  kPlaced,         ///< a new flow
-  kSearched,       ///< an unknown flow is offered to an agent
-  kNoRoutes,       ///< no configuration is known yet
+  kRemembered,     ///< the flow record names the agent
+  kPlaced,         ///< a new flow was placed on an endpoint
+  kSearched,       ///< the holder of an unknown flow is searched for
+  kNoRoutes,       ///< no configuration has been received yet
   kNoRoute,        ///< the virtual address has no route
-  kRouteRemoved,   ///< the flow's route is gone
+  kRouteRemoved,   ///< the configuration no longer has the flow's route
   kNoEndpoint,     ///< no endpoint of the service admits new flows
-  kAllRefused,     ///< each endpoint returned the opening packet
-  kHeldByNone,     ///< each endpoint returned the packet: the flow has ended
-  kNotSure,        ///< nothing is known of the flow, and not all agents could be asked
-  kTooManyPasses,  ///< the packet was passed on too often
-  kReset,          ///< a client's reset of a flow that isn't known
+  kAllRefused,     ///< all endpoints returned the opening packet
+  kHeldByNone,     ///< all endpoints returned the packet: the flow has ended
+  kNotSure,        ///< the flow is unknown, and not all agents could be asked
+  kTooManyPasses,  ///< the packet was forwarded too often
+  kReset,          ///< a client's reset of an unknown flow
 };
 inline constexpr std::size_t kBalancerReasonCount =
     static_cast<std::size_t>(BalancerReason::kReset) + 1;
@@ -65,95 +69,98 @@
 /// Returns the reason's name for logs and metrics.
 const char* BalancerReasonName(BalancerReason reason);
 
-/// What to do with one packet.
+/// What the balancer does with one packet.
 struct BalancerDecision {
   BalancerVerdict verdict = BalancerVerdict::kDrop;
   BalancerReason reason = BalancerReason::kNoRoute;
   base::SocketAddress agent;         ///< for kForward
   ForwardHeader header;              ///< for kForward
-  std::uint32_t reset_sequence = 0;  ///< for kReset: one that the client takes
-  /// For kForward of a search: the agents that are to pass the packet on among themselves.
+  std::uint32_t reset_sequence = 0;  ///< for kReset: a sequence number that the client accepts
+  /// For kForward of a search: the agents that forward the packet to each other, in order.
   std::vector<base::SocketAddress> route{};
 };
 
-/// Decision core. An opening packet goes to the least loaded endpoint of its route's service; where
-/// an agent returns it, to the next. The flow's agent is remembered. A packet of an unknown flow is
-/// offered to the agents of the route's services in turn until one doesn't return it: the endpoints
-/// know which flows they hold, so flows outlive every process of ours. Not thread-safe.
+/// Decision core. An opening packet goes to the least loaded endpoint of its route's service; if
+/// the agent returns it, it goes to the next one. A flow record stores the flow's agent. A packet
+/// of an unknown flow is offered to the agents of the route's services in turn until one does not
+/// return it. The endpoints know which flows they hold, so flows survive the loss of balancers and
+/// agents. Not thread-safe.
 class BalancerCore {
  public:
   BalancerCore(BalancerSettings settings, base::RandomSource& random, base::TimePoint now);
 
-  /// Swaps the route table; an older version than the one in force is ignored.
-  /// @return  whether it was taken
+  /// Replaces the route table, unless `routes` is not newer than the one in force.
+  /// @return  whether the table was replaced
   bool SetRoutes(RouteTable routes);
   const RouteTable& Routes() const { return m_routes; }
 
-  /// Takes which zones are evacuated: their endpoints get no new flow.
+  /// Sets the evacuated zones, whose endpoints get no new flows, if `evacuated` is newer.
   /// @return  whether the zones have changed
   bool ApplyEvacuatedZones(const EvacuatedZones& evacuated) { return m_evacuated.Take(evacuated); }
   const EvacuatedZones& Evacuated() const { return m_evacuated; }
 
-  /// A packet that came from a client.
+  /// Handles a packet from a client.
   BalancerDecision OnClientPacket(const FlowPacket& packet, base::TimePoint now);
 
-  /// A packet that an agent returned.
+  /// Handles a packet that an agent returned.
   BalancerDecision OnReturnedPacket(const FlowPacket& packet, const ForwardHeader& header,
                                     const base::SocketAddress& agent, base::TimePoint now);
 
-  /// An agent says that its endpoint holds a flow that was searched for.
-  /// @param service  of that endpoint; the agent may not have reported yet
-  /// @return  whether that wasn't what the balancer believed
+  /// Handles an agent's notice that its endpoint holds a flow that was searched for.
+  /// @param service  the endpoint's service; the agent may not have reported yet
+  /// @return  whether the notice changed the flow record
   bool OnHolderNotice(const FlowKey& flow, const base::SocketAddress& agent,
                       base::ServiceId service, base::TimePoint now);
 
   ReportOutcome OnReport(const base::SocketAddress& address, const AgentReport& report,
                          base::TimePoint now);
 
-  /// Takes how busy an agent says that it is.
+  /// Applies the load that an agent reports between its full reports.
   void OnLoad(const base::SocketAddress& address, const LoadNotice& notice, base::TimePoint now);
 
-  /// Returns the agents to be asked for a report now, as packets passed to them seem to be lost:
-  /// one that doesn't answer is asked last in searches, and after a part of
+  /// Returns the suspects that are due for a report query. A suspect is an agent at which packets
+  /// seem to get lost. While it does not answer, searches ask it last; after half of
   /// BalancerSettings::silence_limit it no longer counts as the holder of a flow. Call a few times
-  /// a second, and when there are new ones.
+  /// a second, and when HasNewSuspects() returns true.
   std::vector<base::SocketAddress> TakeSuspects(base::TimePoint now);
   bool HasNewSuspects() const { return !m_new_suspects.empty(); }
 
-  /// Forgets idle flows and silent agents. Call a few times a second: a longer gap means that this
-  /// process was paused. Others weren't silent then, so what it knows ages by nothing, and it
-  /// learns anew before it takes anything for certain.
+  /// Removes idle flows and silent agents. Call a few times a second: a gap of more than a second
+  /// between two calls counts as a pause of this process. Other nodes were not silent during the
+  /// pause, so the ages of their reports exclude it, and the balancer learns again before it
+  /// resets flows.
   void Tick(base::TimePoint now);
 
-  /// Returns the open flows whose endpoint's incarnation is known for certain, for a store.
+  /// Returns the open flows whose endpoint's incarnation is confirmed, to be written to the store.
   std::vector<SavedFlow> MakeSnapshot();
 
-  /// Takes what the balancer's former life saved. Call once, soon after the start.
+  /// Loads the flows that this balancer saved before it was restarted. Call once, soon after the
+  /// start.
   void TakeSnapshot(std::span<const SavedFlow> flows, base::TimePoint now);
 
-  /// The flows whose agents were given up, together with their machines as far as this balancer can
-  /// tell, and whose clients are silent: they are to be reset.
+  /// Returns the queue of flows to reset: their agents have been silent for too long, which usually
+  /// means that the machine was lost with the endpoint, and their clients send nothing.
   DeadFlowQueue& FlowsToReset() { return m_dead; }
 
-  /// Returns whether the process has just started or woken from a pause: what it receives may have
-  /// waited in its sockets for as long as it stood still.
+  /// Returns whether the process has just started or resumed after a pause: datagrams that it
+  /// receives may have waited in its sockets for the whole pause.
   bool HasJustResumed(base::TimePoint now);
 
-  /// Returns how long the process has been paused in all.
+  /// Returns the total time for which the process has been paused.
   base::Duration PausedFor() const { return m_paused_for; }
 
   AgentDirectory& Agents() { return m_agents; }
   AgentDiscovery& Discovery() { return m_discovery; }
 
-  /// Notes an agent that somebody else has heard.
-  /// @return  whether it is to be asked for a report now
+  /// Notes an agent that another node has heard.
+  /// @return  whether the agent is to be asked for a report now
   bool NoteListed(const ListedAgent& agent, base::TimePoint now);
 
-  /// Returns whether the agent isn't worth naming to balancers that will know none: it isn't known,
-  /// has said that it ends, has no endpoint, or has been silent for too long.
+  /// Returns whether the agent is left out of the stored listing from which new balancers learn:
+  /// it is unknown, is stopping, has no endpoint, or has been silent for too long.
   bool IsGone(const base::SocketAddress& agent, base::TimePoint now);
 
-  /// Returns whether there may be agents that this balancer hasn't found yet.
+  /// Returns whether there may be agents that this balancer has not found yet.
   bool IsLearning(base::TimePoint now);
   std::size_t FlowCount() const { return m_flows.size(); }
 
@@ -163,22 +170,22 @@
     base::ServiceId service;
     base::TimePoint last_packet{};
     std::uint32_t opening_sequence = 0;
-    std::uint8_t priority = kDefaultPriority;  // of its requests
-    base::TimePoint held_since{};              // at `agent`, as far as is known
-    std::uint32_t acknowledged = 0;            // by the client, last
+    std::uint8_t priority = kDefaultPriority;  // priority of the flow's requests
+    base::TimePoint held_since{};              // when the flow was assigned to `agent`
+    std::uint32_t acknowledged = 0;            // last acknowledgement number from the client
     base::TimePoint last_data_at{};            // when the client last sent data
-    std::uint32_t data_sequence = 0;           // of the last packet with data; a copy has the same
+    std::uint32_t data_sequence = 0;  // of the last packet with data; a retransmission repeats it
     bool has_data = false;
-    bool is_open = false;       // a packet beyond the opening one has come from the client
-    bool is_confirmed = false;  // the agent's endpoint was seen to hold the flow
-    std::vector<base::SocketAddress> route;  // of the search under way, after `agent`
+    bool is_open = false;                    // the client has sent a packet after the opening one
+    bool is_confirmed = false;               // the agent's endpoint is known to hold the flow
+    std::vector<base::SocketAddress> route;  // agents after `agent` in the current search
     base::TimePoint searched_at{};
-    bool is_searching = false;                 // and the holder hasn't been found
-    std::uint8_t search_round = 0;             // counts the routes that were made
-    std::uint32_t search_order = 0;            // each takes another order
-    unsigned must_accept_attempts = 0;         // openings that had to be accepted
-    std::vector<base::SocketAddress> refused;  // agents that returned it
-    std::vector<base::SocketAddress> busy;     // those of them that did so for their load
+    bool is_searching = false;                 // a search has not found the holder yet
+    std::uint8_t search_round = 0;             // number of search routes built, modulo 256
+    std::uint32_t search_order = 0;            // seed of the search order; rises with lost searches
+    unsigned must_accept_attempts = 0;         // times the opening was sent with must_accept
+    std::vector<base::SocketAddress> refused;  // agents that returned the flow's packets
+    std::vector<base::SocketAddress> busy;     // the agents in `refused` that returned kBusy
   };
 
   BalancerDecision OnOpening(const FlowPacket& packet, base::TimePoint now);
@@ -236,19 +243,19 @@
   base::RandomSource& m_random;
   AgentDirectory m_agents;
   AgentDiscovery m_discovery;
-  AgentQuestions m_suspects;                        // agents that packets seem to be lost at
-  std::vector<base::SocketAddress> m_new_suspects;  // to be asked at once
+  AgentQuestions m_suspects;                        // agents at which packets seem to get lost
+  std::vector<base::SocketAddress> m_new_suspects;  // suspects that have not been queried yet
   bool m_has_learned = false;                       // since the start or the last pause
   EndpointChooser m_chooser;
   RouteTable m_routes;
   EvacuatedZones m_evacuated;
-  // Services that ever stood behind an address: open flows stay where they are.
+  // Present and past services of each virtual address. Open flows stay at endpoints of past ones.
   absl::flat_hash_map<base::SocketAddress, std::vector<base::ServiceId>> m_past_services;
   absl::flat_hash_map<FlowKey, FlowRecord> m_flows;
   DeadFlowQueue m_dead;
   FlowRecovery m_recovery;
-  FlowRecord m_overflow_record;  // stands in for a record when there is no room
-  base::TimePoint m_started_at;  // or woken from a pause
+  FlowRecord m_overflow_record;  // used for one packet when m_flows is full
+  base::TimePoint m_started_at;  // time of the start or of the end of the last pause
   base::TimePoint m_last_sweep_at;
   std::optional<base::TimePoint> m_ticked_at;
   base::Duration m_paused_for{0};
--- a/libs/placement/include/gaugevalve/placement/balancer_gossip.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_gossip.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a balancer tells other nodes about those it knows, and to whom.
+/// Gossip core: selects which nodes a balancer greets and what each greeting contains.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +18,17 @@
 
 namespace gaugevalve::placement {
 
-/// A greeting and whom it is for.
+/// A greeting and its receiver.
 struct OutgoingGreeting {
   base::SocketAddress receiver;
   BalancerGreeting greeting;
 };
 
-/// Decision core: balancers find each other and the agents by gossip. Each round a few peers, drawn
-/// by chance, get a sample of what this balancer knows; news go to a few more at once, who pass
-/// them on. So a node's share of the traffic doesn't grow with the deployment. A balancer that has
-/// just started asks its first peers for everything. Not thread-safe.
+/// Decision core: balancers find each other and the agents by gossip. In each round a few randomly
+/// selected peers get a sample of the nodes that this balancer knows. Changes are sent at once to a
+/// few more peers, which forward them. The traffic of a node therefore does not grow with the
+/// deployment. A balancer that has just started asks its first peers for full listings. Not
+/// thread-safe.
 class BalancerGossip {
  public:
   /// @param self  the address under which nodes reach this balancer
@@ -35,64 +36,65 @@
   BalancerGossip(const base::SocketAddress& self, base::Incarnation life, BalancerCore& core,
                  base::RandomSource& random, base::TimePoint now, StoreReaderSettings reader = {});
 
-  /// Sets the addresses that are asked while fewer than a few others are alive.
+  /// Sets the addresses that are also greeted while only a few other balancers are alive.
   void SetSeeds(std::vector<base::SocketAddress> seeds) { m_balancers.SetSeeds(std::move(seeds)); }
 
-  /// Takes what another balancer tells.
-  /// @param is_new  set to whether the sender wasn't known as alive
-  /// @return  the answers, and greetings of nodes that were not known
+  /// Handles a greeting from another balancer.
+  /// @param is_new  set to whether the sender was not listed as alive
+  /// @return  the answers, and greetings to nodes that were unknown
   std::vector<OutgoingGreeting> OnGreeting(const BalancerGreeting& greeting,
                                            const base::SocketAddress& sender, base::TimePoint now,
                                            bool& is_new);
 
-  /// Returns the greeting of an agent that has just been heard for the first time in its life.
+  /// Returns the greeting to an agent whose process has just been heard for the first time.
   OutgoingGreeting GreetNewAgent(const KnownAgent& agent, base::TimePoint now);
 
-  /// Takes the agents that another agent names. @return  questions to those not heard yet
+  /// Notes the agents that another agent named. @return  queries to those not heard yet
   std::vector<OutgoingGreeting> OnNamedAgents(std::span<const ListedAgent> fellows,
                                               base::TimePoint now);
 
-  /// Takes the agents that the store names. @return  questions to those not heard yet
+  /// Notes the agents listed in the store. @return  queries to those not heard yet
   std::vector<OutgoingGreeting> OnAgentListing(const AgentListing& listing, base::TimePoint now);
 
-  /// Returns what the store is to keep of the agents.
+  /// Returns the agent listing to be written to the store.
   AgentListing MakeAgentListing(base::TimePoint now);
 
-  /// Returns the greetings that spread a configuration which this balancer has just taken.
-  /// @param is_first  whether it had none before; agents wait for their health check's path then
+  /// Returns the greetings that announce a configuration which has just come into force here.
+  /// @param is_first  whether there was none before; agents then wait for their health check path
   std::vector<OutgoingGreeting> OnNewRoutes(bool is_first, base::TimePoint now);
 
-  /// Returns questions to the agents that packets seem to be lost at; see
+  /// Returns queries to the agents at which packets seem to get lost; see
   /// BalancerCore::TakeSuspects().
   std::vector<OutgoingGreeting> AskSuspects(base::TimePoint now);
 
-  /// Returns the greetings that spread evacuated zones which have just changed here. Agents hear of
-  /// them in their rounds.
+  /// Returns the greetings that announce a change of the evacuated zones. Agents learn of it from
+  /// AgentRound().
   std::vector<OutgoingGreeting> OnEvacuation(base::TimePoint now);
 
-  /// Returns a question to a node that somebody else named, a balancer as a rule.
+  /// Returns the first greeting to a node that another node named, usually a balancer.
   OutgoingGreeting Ask(const base::SocketAddress& node, base::TimePoint now);
 
-  /// Returns this round's greetings of balancers.
+  /// Returns this round's greetings to balancers.
   std::vector<OutgoingGreeting> PeerRound(base::TimePoint now);
 
-  /// Returns the time to the next round: short while this balancer is young and knows no other, as
-  /// its seeds may be about to start as well.
+  /// Returns the time to the next round. It is short in the first seconds after the start while no
+  /// other balancer is alive, because the seeds may be starting as well.
   base::Duration PeerPeriod(base::TimePoint now) const;
 
-  /// Returns this round's greetings of agents. Call every `kAgentPeriod`.
+  /// Returns this round's greetings to agents. Call every `kAgentPeriod`.
   std::vector<OutgoingGreeting> AgentRound(base::TimePoint now);
   static constexpr base::Duration kAgentPeriod = std::chrono::seconds(1);
 
-  /// Forgets balancers that nobody has heard for long. Call a few times a second.
-  /// @return  questions to agents that haven't answered yet, and news of the store
+  /// Removes balancers that no node has heard for a minute. Call a few times a second.
+  /// @return  queries to agents that have not answered yet, and notifications of a contact with the
+  /// store
   std::vector<OutgoingGreeting> Tick(base::TimePoint now);
 
   /// Returns the other balancers that are alive.
   std::vector<BalancerAge> Alive(base::TimePoint now) const { return m_balancers.Alive(now); }
   std::size_t AliveCount(base::TimePoint now) const { return m_balancers.Alive(now).size(); }
 
-  /// Says whether this balancer reads the store; kept up to date by what peers tell.
+  /// Returns the role that decides whether this balancer reads the store. Greetings update it.
   StoreReaderRole& Reader() { return m_reader; }
 
  private:
@@ -109,8 +111,8 @@
   void AskListed(std::span<const ListedAgent> agents, base::TimePoint now,
                  std::vector<OutgoingGreeting>& greetings);
 
-  // Datagrams of whole listings that are sent: 400 a second, 480 KB. All balancers of a fleet may
-  // start at once and ask the few that their settings name.
+  // Limits the datagrams of full listings to 400 a second, or 480 KB a second. All balancers of a
+  // fleet may start at once and ask the few seeds in their settings.
   static constexpr std::size_t kListingDatagramsPerPeriod = 40;
   static constexpr base::Duration kListingPeriod = std::chrono::milliseconds(100);
 
@@ -120,7 +122,7 @@
   BalancerList m_balancers;
   StoreReaderRole m_reader;
   base::TimePoint m_started_at;
-  unsigned m_full_listings_requested = 0;  // peers that were asked for everything they know
+  unsigned m_full_listings_requested = 0;  // first greetings that asked for a full listing
   base::TimePoint m_last_new_node_at;      // when a greeting last named a node that wasn't known
   base::RateBudget m_listings{kListingDatagramsPerPeriod, kListingPeriod};
 };
--- a/libs/placement/include/gaugevalve/placement/dead_flow_queue.h
+++ b/libs/placement/include/gaugevalve/placement/dead_flow_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// Flows whose endpoint has gone, and whose clients don't know it yet.
+/// Queue of flows whose endpoint was lost and whose clients have not been told yet.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,32 @@
 
 namespace gaugevalve::placement {
 
-/// A flow to reset towards its client.
+/// A flow to be reset towards its client.
 struct DeadFlow {
   FlowKey flow;
-  std::uint32_t acknowledged = 0;  ///< by the client, last; it takes a reset near that
+  /// Last acknowledgement number from the client, which accepts a reset near that number.
+  std::uint32_t acknowledged = 0;
 
   friend bool operator==(const DeadFlow&, const DeadFlow&) = default;
 };
 
-/// Paces the resets of dead flows. A client may hold a flow open and idle long after its endpoint
-/// has gone, and what it then sends on it is lost; told in time, it opens another one. Answers the
-/// load at which many flows die at once. Bounded. Not thread-safe.
+/// Rate-limits the resets of dead flows. A client may keep an idle flow open long after its
+/// endpoint was lost; a request that it then sends on the flow is lost. A client that gets a reset
+/// in time opens another flow. The queue is bounded and its batches limit the packet rate when many
+/// flows die at once. Not thread-safe.
 class DeadFlowQueue {
  public:
-  /// Flows that wait for their reset. More are left to their clients, who find out by themselves.
+  /// Maximum number of queued flows. Further flows are not reset; their clients find out from
+  /// their own time-outs.
   static constexpr std::size_t kLimit = 16'384;
-  /// Resets in one TakeBatch(). Taken 20 times a second these are 4,000 resets of 36 bytes, 1.2
-  /// Mbit/s: an eighth of the narrowest links in use.
+  /// Resets in one TakeBatch(). 20 batches a second are 4,000 resets of 36 bytes, or 1.2 Mbit/s: an
+  /// eighth of the slowest links in use.
   static constexpr std::size_t kMaxBatchSize = 200;
 
-  /// @return  false where there is no room
+  /// @return  false if the queue is full
   bool Add(const DeadFlow& dead);
 
-  /// Takes the next ones.
+  /// Removes and returns the next batch.
   std::vector<DeadFlow> TakeBatch();
 
   std::size_t Waiting() const { return m_waiting.size(); }
--- a/libs/placement/include/gaugevalve/placement/duty_rank.h
+++ b/libs/placement/include/gaugevalve/placement/duty_rank.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which balancers do what only a few of them have to do.
+/// Selects the few balancers that perform a duty on behalf of all.
 #pragma once
 
 #include <cstddef>
@@ -11,9 +11,9 @@
 
 namespace gaugevalve::placement {
 
-/// Returns how many of the others come before `self` in the order of a duty. The order is by
-/// rendezvous hash: it differs from duty to duty, is the same on all balancers that know the same
-/// others, and needs no messages. Those that know others may both take a duty, or neither.
+/// Returns how many of `others` precede `self` in the order of a duty. The order is by rendezvous
+/// hash: it differs between duties, is the same on all balancers that know the same balancers, and
+/// needs no messages. If two balancers know different ones, both may perform a duty, or neither.
 std::size_t DutyRank(std::string_view duty, const base::SocketAddress& self,
                      std::span<const BalancerAge> others);
 
--- a/libs/placement/include/gaugevalve/placement/evacuated_zones.h
+++ b/libs/placement/include/gaugevalve/placement/evacuated_zones.h
@@ -1,5 +1,5 @@
 /// @file
-/// The zones to which the operator wants no new flows.
+/// The zones that the operator has evacuated: their endpoints get no new flows.
 #pragma once
 
 #include <cstddef>
@@ -10,27 +10,28 @@
 
 namespace gaugevalve::placement {
 
-/// All zones that are evacuated at one moment, as one value: a zone is taken back by a newer value
-/// without it. Travels with greetings and reports; the newer version wins, so that neither an
-/// evacuation nor its end is lost or undone by a node that was away. Open flows aren't touched.
+/// The complete set of evacuated zones as one versioned value; a newer value without a zone ends
+/// that zone's evacuation. Greetings and reports carry it, and the newer version wins, so a node
+/// that was unreachable for a while can neither lose nor undo an evacuation or its end. Open flows
+/// are not affected.
 struct EvacuatedZones {
-  /// More than this are refused where they are read: each datagram of control carries the list.
+  /// Longer lists are rejected when they are read, because each control datagram carries the list.
   static constexpr std::size_t kMaxZones = 32;
 
-  std::uint64_t version = 0;       ///< rises with each reading of the operator's word; 0: not known
-  std::vector<std::string> zones;  ///< sorted, each once
+  std::uint64_t version = 0;       ///< rises with each read of the operator's entry; 0: unknown
+  std::vector<std::string> zones;  ///< sorted, without duplicates
 
-  /// Returns whether `zone` is to get no new flow.
+  /// Returns whether `zone` is evacuated.
   bool Has(std::string_view zone) const;
 
-  /// Takes `other` if it is newer.
+  /// Replaces this value with `other` if `other` is newer.
   /// @return  whether the zones themselves have changed
   bool Take(const EvacuatedZones& other);
 
   friend bool operator==(const EvacuatedZones&, const EvacuatedZones&) = default;
 };
 
-/// Returns the zones' names, joined with commas, for logs.
+/// Returns the zone names separated by commas, for logs.
 std::string JoinZones(const EvacuatedZones& evacuated);
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/flow_hash.h
+++ b/libs/placement/include/gaugevalve/placement/flow_hash.h
@@ -17,7 +17,7 @@
   return base::HashPair(AddressHash(flow.client), AddressHash(flow.destination));
 }
 
-/// Tells whether usual decisions about this flow are logged: the same flows on every node.
+/// Returns whether routine decisions about this flow are logged. All nodes log the same flows.
 inline bool IsSampled(const FlowKey& flow) {
   constexpr std::uint64_t kSamplingInterval = 64;
   return FlowHash(flow) % kSamplingInterval == 0;
--- a/libs/placement/include/gaugevalve/placement/flow_packet.h
+++ b/libs/placement/include/gaugevalve/placement/flow_packet.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the placement cores need to know of one packet of a flow.
+/// The header fields of a flow's packet that the placement cores use.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace gaugevalve::placement {
 
-/// A flow: the client's end and the virtual address that it called.
+/// Identifies a flow by its client's address and the virtual address.
 struct FlowKey {
   base::SocketAddress client;
   base::SocketAddress destination;
@@ -21,7 +21,7 @@
   }
 };
 
-/// A packet in either direction, without its data. The cores never see the bytes inside a flow.
+/// A packet in either direction, without its payload, which the cores never read.
 struct FlowPacket {
   FlowKey flow;
   bool is_opening = false;         ///< SYN without ACK
@@ -29,10 +29,10 @@
   bool is_synchronizing = false;   ///< SYN, with or without ACK
   bool is_closing = false;         ///< FIN
   bool is_reset = false;           ///< RST
-  bool is_bounced = false;         ///< returned by an endpoint that doesn't take it
-  std::uint32_t sequence = 0;      ///< of the sender's first byte
-  std::uint32_t acknowledged = 0;  ///< the sender expects this byte next
-  std::uint16_t data_size = 0;     ///< bytes
+  bool is_bounced = false;         ///< returned by an endpoint that doesn't accept it
+  std::uint32_t sequence = 0;      ///< sequence number of the packet's first byte
+  std::uint32_t acknowledged = 0;  ///< acknowledgement number: the next byte the sender expects
+  std::uint16_t data_size = 0;     ///< payload size in bytes
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/flow_preference.h
+++ b/libs/placement/include/gaugevalve/placement/flow_preference.h
@@ -1,6 +1,6 @@
 /// @file
-/// Which few endpoints of a service a flow goes to before all others: where it is placed, as far as
-/// their load allows, and so where it is looked for first.
+/// Preferred endpoints of a flow: the flow is placed on one of them if their load allows it, and
+/// searches for its holder ask them first.
 #pragma once
 
 #include <cstddef>
@@ -12,25 +12,25 @@
 
 namespace gaugevalve::placement {
 
-/// Endpoints of each zone and service in one tier of a flow's order. Eight: with the endpoints of
-/// seven zones it fills one search's route, and at a load of 0.7 all eight of a zone are busy for
-/// one opening in 17 (0.7^8), which goes to another zone then.
+/// Number of endpoints of each zone and service in one tier of a flow's order. The first tiers of
+/// seven zones fill the route of one search. At a load of 0.7 all eight endpoints of a
+/// zone are busy for one opening in 17 (0.7^8), which then goes to another zone.
 inline constexpr std::size_t kPreferredPerZone = 8;
 
-/// An agent's place in a flow's order.
+/// An agent's rank for one flow.
 struct RankedAgent {
   KnownAgent* agent = nullptr;
-  std::size_t tier = 0;    ///< 0: the first kPreferredPerZone of its zone and service, and so on
+  std::size_t tier = 0;    ///< rank in its zone and service, divided by kPreferredPerZone
   std::uint64_t hash = 0;  ///< of flow and agent: the order within a zone
 };
 
-/// Ranks agents for a flow by rendezvous hashing, each zone and service by itself. Every balancer
-/// that knows the same agents has the same order, and one that comes or goes shifts the others by
-/// one place at most: so whoever knows nothing of a flow finds its holder among a number of agents
-/// that doesn't grow with the fleet. Answers the load after all balancers were lost, when each of
-/// them has to find thousands of flows.
-/// @param flow_hash  FlowHash() of the flow, or another number of its own
-/// @return  all of `agents`, by service, zone and place
+/// Ranks agents for a flow by rendezvous hashing, separately for each zone and service. All
+/// balancers that know the same agents compute the same order, and an added or removed agent shifts
+/// the others by at most one rank. A balancer without a record of a flow therefore finds its holder
+/// among a number of agents that does not grow with the fleet. This bounds the load after the loss
+/// of all balancers, when each new one has to find thousands of flows.
+/// @param flow_hash  FlowHash() of the flow, or another number specific to it
+/// @return  all of `agents`, ordered by service, zone and rank
 std::vector<RankedAgent> RankForFlow(std::uint64_t flow_hash, std::span<KnownAgent* const> agents);
 
 /// Returns the agents of the first tier: up to kPreferredPerZone of each zone and service.
--- a/libs/placement/include/gaugevalve/placement/flow_snapshot.h
+++ b/libs/placement/include/gaugevalve/placement/flow_snapshot.h
@@ -1,6 +1,6 @@
 /// @file
-/// The open flows of a balancer, for the case that everything stops: their bytes, and what a
-/// balancer that starts makes of them.
+/// Snapshots of a balancer's open flows, from which it recovers after all processes have stopped:
+/// their encoding, when they are written, and how a balancer that starts uses them.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -22,48 +22,50 @@
 
 namespace gaugevalve::placement {
 
-/// One open flow as it was when the snapshot was made.
+/// State of one open flow at the time of the snapshot.
 struct SavedFlow {
   FlowKey flow;
-  std::uint32_t acknowledged = 0;         ///< by the client, last
-  base::SocketAddress agent;              ///< that held it
-  std::uint32_t endpoint = 0;             ///< EndpointHash() of the incarnation beside it
-  std::uint64_t endpoint_started_ms = 0;  ///< EndpointIncarnation::started_ms of it
+  std::uint32_t acknowledged = 0;         ///< last acknowledgement number from the client
+  base::SocketAddress agent;              ///< agent of the endpoint that held the flow
+  std::uint32_t endpoint = 0;             ///< EndpointHash() of that endpoint's incarnation
+  std::uint64_t endpoint_started_ms = 0;  ///< EndpointIncarnation::started_ms of that endpoint
 
   friend bool operator==(const SavedFlow&, const SavedFlow&) = default;
 };
 
-/// Flows that a snapshot holds: 25 KB. The newest in use are kept where there are more.
+/// Maximum number of flows in a snapshot, which then has 25 KB. If there are more, the most
+/// recently used ones are saved.
 inline constexpr std::size_t kSnapshotLimit = 2'048;
 
-/// Returns the snapshot's bytes, for a store.
+/// Serializes the snapshot for the store.
 std::string EncodeFlowSnapshot(std::span<const SavedFlow> flows);
 
-/// Returns the flows in the bytes, or nothing when they are malformed.
+/// Parses a snapshot. Returns nothing if `bytes` is malformed.
 /// @param port  the port of all nodes
 std::optional<std::vector<SavedFlow>> DecodeFlowSnapshot(std::string_view bytes,
                                                          std::uint16_t port);
 
-/// Says when a snapshot is worth its call: when many flows are missing from the one before, or its
-/// acknowledgements have become old. Not thread-safe.
+/// Decides when a snapshot is written: when many flows are missing from the previous one, or when
+/// its acknowledgement numbers have become old. Not thread-safe.
 class SnapshotSchedule {
  public:
-  /// A client takes a reset within some ten thousand bytes of what it has acknowledged; that is
-  /// some forty answers of 2 KB.
+  /// Maximum age of the last snapshot's acknowledgement numbers. A client accepts a reset within
+  /// some ten thousand bytes of what it has acknowledged, which is some forty responses of 2 KB.
   static constexpr base::Duration kMaxInterval = std::chrono::seconds(15);
-  /// One in so many flows must be new for a snapshot before that.
+  /// Before kMaxInterval a snapshot is written if at least one flow in this many is new.
   static constexpr std::size_t kNewFlowDivisor = 5;
 
-  /// All balancers together write four times a second: a third of a percent of the calls that a
-  /// store of 1,200 writes a second takes, however many balancers there are.
+  /// All balancers together write four times a second, however many there are. That is a third of
+  /// a percent of the capacity of a store that serves 1,200 writes a second.
   static constexpr base::Duration kPeriodPerBalancer = std::chrono::milliseconds(250);
 
-  /// Returns how often each of so many balancers may save its flows, or nothing where that is so
-  /// seldom that clients would have sent again before a snapshot is of use: from 61 balancers on.
-  /// @param shortest  between two snapshots at least; 0 for none
+  /// Returns the time between two snapshots of each balancer. Returns nothing from 61 balancers on:
+  /// the period would exceed the time in which a snapshot is of use, because clients would have
+  /// sent again by then.
+  /// @param shortest  minimum period; 0 for no snapshots
   static std::optional<base::Duration> Period(base::Duration shortest, std::size_t balancers);
 
-  /// Returns whether these flows are to be saved now; then they count as saved.
+  /// Returns whether these flows are to be saved now. If so, they count as saved.
   bool TakeDue(std::span<const SavedFlow> flows, base::TimePoint now);
 
  private:
@@ -71,41 +73,41 @@
   absl::flat_hash_set<FlowKey> m_saved;
 };
 
-/// The flows of the snapshot that a balancer's former life left. Says where a flow was held, so
-/// that it needn't be searched for, and which flows died with their endpoint's incarnation, so that
-/// their clients are told before they send. A snapshot may be old: it speaks only for incarnations,
-/// and one that lives keeps its flows. Not thread-safe.
+/// The flows of the snapshot that this balancer saved before its restart. It tells where a flow was
+/// held, which avoids a search, and which flows died with their endpoint's incarnation, so that
+/// their clients get a reset before they send. A snapshot may be old, so only a change of the
+/// endpoint's incarnation counts as the death of a flow. Not thread-safe.
 class FlowRecovery {
  public:
-  /// A snapshot is of use for so long after the start: by then clients have sent, or given up.
+  /// The snapshot is discarded this long after the start: by then clients have sent or given up.
   static constexpr base::Duration kSnapshotLifetime = std::chrono::seconds(15);
-  /// An announcement may be late and of an older incarnation. An agent is believed that another
-  /// incarnation has taken the saved one's place when that started later by what both say; when it
-  /// has announced itself twice; or when the endpoint has given back so many different flows that
-  /// the saved one held;
+  /// An announcement may be a delayed one of an older incarnation. The replacement of the saved
+  /// incarnation counts as confirmed if the reported incarnation started later according to both
+  /// start times, if it has announced itself twice, or if the endpoint has returned this many
+  /// different flows of the saved incarnation.
   static constexpr std::size_t kReturnsNeeded = 3;
-  /// or so many, where the incarnation's announcement is its first.
+  /// The same number if the reported incarnation's announcement is its first one.
   static constexpr std::size_t kReturnsNeededAtStart = 1;
 
-  /// Takes the flows of a snapshot. The first one counts.
+  /// Loads the flows of a snapshot. Calls after the first one have no effect.
   void Take(std::span<const SavedFlow> flows, base::TimePoint now);
 
-  /// Returns the flow as it was saved, or null.
+  /// Returns the saved state of the flow, or null.
   const SavedFlow* Find(const FlowKey& flow) const;
 
-  /// Returns the flows that are still here, in no order.
+  /// Returns the flows that have not been removed, in no particular order.
   std::vector<SavedFlow> Remaining() const;
 
-  /// Its client has been heard, so it is looked after like others.
+  /// Removes the flow.
   void Forget(const FlowKey& flow);
 
-  /// The agent's endpoint has given a flow back.
+  /// Notes that the agent's endpoint returned a packet of the flow.
   void NoteReturn(const FlowKey& flow, const base::SocketAddress& agent);
 
-  /// Takes out the flows of the agent that are dead, going by its newest report.
+  /// Removes and returns the agent's flows that are dead according to its newest report.
   std::vector<DeadFlow> TakeDead(const base::SocketAddress& agent, const AgentReport& report);
 
-  /// Forgets all when they are of no use any more.
+  /// Removes all flows once the snapshot has expired.
   void Tick(base::TimePoint now);
 
   std::size_t Size() const { return m_flows.size(); }
--- a/libs/placement/include/gaugevalve/placement/node_message.h
+++ b/libs/placement/include/gaugevalve/placement/node_message.h
@@ -1,5 +1,5 @@
 /// @file
-/// What nodes tell each other about themselves, and its bytes (protobuf behind a ForwardHeader).
+/// Control messages between nodes and their encoding: a ForwardHeader followed by protobuf.
 #pragma once
 
 #include <cstdint>
@@ -20,46 +20,48 @@
 
 namespace gaugevalve::placement {
 
-/// What a balancer tells agents and other balancers.
+/// A balancer's gossip message to agents and other balancers.
 struct BalancerGreeting {
   base::Incarnation life;
   std::uint64_t routes_version = 0;    ///< 0 for none
-  std::vector<BalancerAge> balancers;  ///< alive; without the sender
+  std::vector<BalancerAge> balancers;  ///< live balancers, without the sender
   std::vector<ListedAgent> agents;
-  std::string health_check_path;  ///< of the service of the agent written to; may be empty
-  std::size_t agent_count = 0;    ///< that the balancer knows
-  bool wants_answer = false;      ///< the receiver is asked for a report or a whole listing
-  bool wants_fellows = false;     ///< an agent is asked for the other agents that it knows
-  bool is_learning = false;       ///< the balancer may not know all agents yet
-  /// How long ago the store said that this is its newest configuration, as far as the sender knows.
+  std::string health_check_path;  ///< of the receiving agent's service; may be empty
+  std::size_t agent_count = 0;    ///< number of agents that the sender knows
+  bool wants_answer = false;      ///< asks an agent for a report, a balancer for a full listing
+  bool wants_fellows = false;     ///< asks an agent for the other agents that it knows
+  bool is_learning = false;       ///< the sender may not know all agents yet
+  /// How long ago the store confirmed that `routes_version` is its newest configuration, as far as
+  /// the sender knows.
   std::optional<base::Duration> store_age;
-  EvacuatedZones evacuated;           ///< as far as the sender knows
-  std::optional<WarmUpRate> warm_up;  ///< of the service of the agent written to
-  std::vector<RequestClass> classes;  ///< likewise; empty where none is known
-  std::optional<AgentReport> memory;  ///< of the endpoint beside the agent written to
-  base::Duration memory_age{0};
+  EvacuatedZones evacuated;           ///< newest value that the sender knows
+  std::optional<WarmUpRate> warm_up;  ///< of the receiving agent's service
+  std::vector<RequestClass> classes;  ///< of the receiving agent's service; empty if unknown
+  /// Last report on the receiving agent's endpoint from before the agent was restarted.
+  std::optional<AgentReport> memory;
+  base::Duration memory_age{0};  ///< age of `memory`
 };
 
-/// The agents that a node knows, for those who know none.
+/// The agents that a node knows. The store keeps it for nodes that start and know no agent.
 struct AgentListing {
-  std::vector<ListedAgent> agents;  ///< a part of them where there are many
-  std::size_t agent_count = 0;      ///< of the deployment
+  std::vector<ListedAgent> agents;  ///< a random sample if there are more than the listing's limit
+  std::size_t agent_count = 0;      ///< total number of agents in the deployment
 };
 
 using NodeMessage = std::variant<AgentReport, BalancerGreeting>;
 
-/// Returns the listing's bytes, for a store.
+/// Serializes the listing for the store.
 std::string EncodeAgentListing(const AgentListing& listing);
 
-/// Returns the listing in the bytes, or nothing when they are malformed.
+/// Parses a listing. Returns nothing if `bytes` is malformed.
 /// @param port  the port of all nodes
 std::optional<AgentListing> DecodeAgentListing(std::string_view bytes, std::uint16_t port);
 
-/// Returns the message's datagram.
+/// Returns the datagram that carries the message.
 std::string EncodeNodeMessage(const NodeMessage& message);
 
-/// Returns the message behind a control header, or nothing when it is malformed.
-/// @param datagram  the whole datagram
+/// Parses the message that follows a control header. Returns nothing if it is malformed.
+/// @param datagram  the whole datagram, with the header
 /// @param port  the port of all nodes
 std::optional<NodeMessage> DecodeNodeMessage(std::span<const std::uint8_t> datagram,
                                              std::uint16_t port);
--- a/libs/placement/include/gaugevalve/placement/packet_buffer.h
+++ b/libs/placement/include/gaugevalve/placement/packet_buffer.h
@@ -1,5 +1,5 @@
 /// @file
-/// The packets of requests that wait before an endpoint.
+/// Buffer for the packets of requests that are queued at an agent.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,24 +13,24 @@
 
 namespace gaugevalve::placement {
 
-/// One packet as it came, and what the endpoint would give it back with.
+/// A packet as received, with the mark that the endpoint returns if it rejects the packet.
 struct BufferedPacket {
-  std::uint32_t sequence = 0;  ///< of its first byte
+  std::uint32_t sequence = 0;  ///< sequence number of its first byte
   std::uint32_t mark = 0;      ///< see AgentDecision::mark
   std::vector<std::uint8_t> bytes;
 };
 
-/// Keeps the packets of flows that wait, in the order of their data. A copy takes its original's
-/// place. RequestQueue bounds the flows; a packet beyond a flow's limit is left to its sender,
-/// which sends it again. Not thread-safe.
+/// Stores the packets of queued flows in sequence order. A retransmission replaces the stored
+/// packet. RequestQueue bounds the number of flows. A packet beyond a flow's limit is dropped; its
+/// sender retransmits it. Not thread-safe.
 class PacketBuffer {
  public:
-  /// As many as a client sends before it waits for an acknowledgement.
+  /// The number of packets that a client sends before it waits for an acknowledgement.
   static constexpr std::size_t kPacketsPerFlow = 16;
 
   void Add(const FlowPacket& packet, std::uint32_t mark, std::span<const std::uint8_t> bytes);
 
-  /// Takes a flow's packets out.
+  /// Removes and returns a flow's packets.
   std::vector<BufferedPacket> Take(const FlowKey& flow);
 
   std::size_t FlowCount() const { return m_flows.size(); }
--- a/libs/placement/include/gaugevalve/placement/report_schedule.h
+++ b/libs/placement/include/gaugevalve/placement/report_schedule.h
@@ -1,5 +1,5 @@
 /// @file
-/// When an agent tells which balancer about itself.
+/// Schedules an agent's reports to the balancers.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -15,60 +15,59 @@
 
 namespace gaugevalve::placement {
 
-/// An agent reports to all balancers in rounds. The larger the deployment, the longer a round, so
-/// that neither an agent nor a balancer spends more on reports than it may; a long round is spread
-/// over its period, so that a balancer that has just started hears some agent at once, however many
-/// there are. Balancers that use the
-/// agent are told in between, and in an agent's first seconds rounds are short, as after a restart
-/// of all nodes each has to hear of each: who places flows on it knows its load, whatever the
-/// round's length, and who hears nothing after an opening knows that the agent has gone. Not
-/// thread-safe.
+/// An agent reports to all balancers in rounds. Rounds get longer as the deployment grows, which
+/// bounds the report rate of each agent and each balancer. The reports of a long round are spread
+/// over its period, so that a balancer that has just started soon hears some agents, however many
+/// there are. Between rounds the agent reports to the balancers that use it. A balancer that places
+/// flows on the agent therefore knows its load at any round length, and one that hears nothing
+/// after an opening knows that the agent is lost. Rounds are short in an agent's first seconds,
+/// because after a restart of all nodes each balancer has to hear each agent. Not thread-safe.
 class ReportSchedule {
  public:
-  /// The least time between two reports to one balancer.
+  /// Minimum time between two reports to one balancer.
   static constexpr base::Duration kMinPeriod = std::chrono::milliseconds(200);
 
-  /// @param balancers  that the agent reports to
-  /// @param agents  that each of them hears
-  /// @return  the time from one round to the next, but for an agent's first seconds
+  /// @param balancers  number of balancers that the agent reports to
+  /// @param agents  number of agents that report to each balancer
+  /// @return  the time from one round to the next after an agent's first seconds
   static base::Duration RoundPeriod(std::size_t balancers, std::size_t agents);
 
-  /// Notes how many agents the balancers hear, as one of them said.
+  /// Sets the number of agents in the deployment, as reported by a balancer.
   void SetAgentCount(std::size_t agents) { m_agents = agents; }
   std::size_t AgentCount() const { return m_agents; }
 
-  /// Returns whether the present round is over.
+  /// Returns whether the current round is over.
   bool IsRoundDue(base::TimePoint now) const {
     return now - m_round_at >= m_period && m_reported_count == m_round.size();
   }
 
-  /// Notes that a round begins in which all balancers are told at once.
-  /// @param balancers  how many are told in it
+  /// Notes that a round begins in which the agent reports to all balancers at once.
+  /// @param balancers  number of balancers in the round
   void NoteRound(std::size_t balancers, base::TimePoint now);
 
-  /// Begins the next round, spread over its period unless that is short. TakeShare() says who is to
-  /// be told when.
-  /// @param salt  of the agent's own: each goes through the balancers in another order
+  /// Begins the next round, which is spread over its period unless that is short. TakeShare()
+  /// returns the balancers that are due.
+  /// @param salt  specific to the agent, so that agents report to balancers in different orders
   void BeginRound(std::vector<base::SocketAddress> balancers, std::uint64_t salt,
                   base::TimePoint now);
 
-  /// Returns the balancers whose turn in the round has come.
+  /// Returns the balancers of the round that have become due since the last call.
   std::vector<base::SocketAddress> TakeShare(base::TimePoint now);
 
-  /// Returns whether one more balancer that asks may be answered now.
+  /// Returns whether the rate limit allows one more answer to a balancer's query, and counts it.
   bool TakeAnswer(base::TimePoint now) { return m_answers.Take(now); }
 
-  /// Returns the time to the next round, as of the last one.
+  /// Returns the period of the current round.
   base::Duration Period() const { return m_period; }
 
-  /// Notes that `balancer` has passed the agent an opening packet.
+  /// Notes that `balancer` has forwarded an opening packet to the agent.
   void NoteUse(const base::SocketAddress& balancer);
 
-  /// Returns the balancers to be told before the next round, and counts them as told.
+  /// Returns the balancers to report to before the next round, and counts them as reported to.
   std::vector<base::SocketAddress> TakeUsers(base::TimePoint now);
 
  private:
-  // 1,000 answers a second: 130 KB. Who gets none asks again.
+  // 1,000 answers a second, or 130 KB a second. A balancer without an answer asks again.
   static constexpr std::size_t kAnswersPerPeriod = 100;
   static constexpr base::Duration kAnswerPeriod = std::chrono::milliseconds(100);
 
@@ -82,13 +81,13 @@
   std::size_t m_agents = 0;
   base::Duration m_period{0};
   base::TimePoint m_round_at{};
-  base::TimePoint m_all_reported_at{};       // at once, in a round that wasn't spread
-  std::vector<base::SocketAddress> m_round;  // balancers of a spread round, in order
-  std::size_t m_reported_count = 0;          // of them
-  bool m_reports_to_all = false;             // the round begins by telling all at once
+  base::TimePoint m_all_reported_at{};       // last report to all balancers at once
+  std::vector<base::SocketAddress> m_round;  // balancers of the round, in order
+  std::size_t m_reported_count = 0;          // balancers of m_round that have been reported to
+  bool m_reports_to_all = false;             // the round begins with a report to all at once
   base::RateBudget m_answers{kAnswersPerPeriod, kAnswerPeriod};
   std::optional<base::TimePoint> m_first_round_at;
-  absl::flat_hash_map<base::SocketAddress, User> m_users;  // since the last round
+  absl::flat_hash_map<base::SocketAddress, User> m_users;  // balancers that use the agent
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/store_reader_role.h
+++ b/libs/placement/include/gaugevalve/placement/store_reader_role.h
@@ -1,5 +1,6 @@
 /// @file
-/// Which balancers watch the store's configuration, and how old everybody's knowledge of it is.
+/// Selects the balancers that watch the store's configuration, and tracks how long ago any balancer
+/// last reached the store.
 #pragma once
 
 #include <cstddef>
@@ -14,52 +15,53 @@
 namespace gaugevalve::placement {
 
 struct StoreReaderSettings {
-  /// A configuration has to be in force everywhere this long after the store has taken it.
+  /// Maximum time from a change in the store until it is in force on all balancers.
   base::Duration change_limit = std::chrono::seconds(3);
 };
 
-/// Decision core. A few balancers, the first by DutyRank(), watch the store; the others are told by
-/// peers how long ago the store was last heard, which peers pass on like a configuration. Whoever
-/// hears of no contact for too long reads the store itself, each after a short time drawn by
-/// chance, so that one or two do it for all: a reader may crash, freeze, be cut off or be turned
-/// away, and all readers may at once. docs/design/0016 adds up how long a change takes at most. Not
-/// thread-safe.
+/// Decision core. A few balancers, the first by DutyRank(), watch the store. The others learn by
+/// gossip how long ago the store was last reached. A balancer that learns of no contact for too
+/// long reads the store itself after a short random delay, so that one or two of them do it for
+/// all. This covers readers that crash, hang, are partitioned or are rejected by the store, even
+/// all of them at once. docs/design/0016 derives the maximum delay of a change. Not thread-safe.
 class StoreReaderRole {
  public:
-  /// Balancers that watch while all is well; in smaller deployments all do.
+  /// Number of balancers that watch the store without faults. In deployments of up to this many all
+  /// of them do.
   static constexpr std::size_t kReaders = 3;
 
   StoreReaderRole(const base::SocketAddress& self, StoreReaderSettings settings,
                   base::RandomSource& random, base::TimePoint now);
 
-  /// Notes that the store has said what its newest configuration is.
+  /// Notes that the store has just returned or confirmed its newest configuration.
   void NoteContact(base::TimePoint now) { NoteHeard(now); }
 
-  /// Notes that a peer knows no newer configuration than this balancer, and heard of the store
-  /// `age` before it said so.
+  /// Notes a greeting from a peer that knows no newer configuration than this balancer, and whose
+  /// last known contact with the store was `age` old when it sent the greeting.
   void NotePeer(base::Duration age, base::TimePoint now) { NoteHeard(now - age - kHopAllowance); }
 
-  /// Counted for the way of each greeting, though most take a few milliseconds: where it were less
-  /// than a greeting waits on a busy machine, knowledge that goes round among peers would never
-  /// age.
+  /// Added to the age for each greeting's transit, though most take a few milliseconds. If it were
+  /// less than the time that a greeting waits on a busy machine, the age of a contact that
+  /// circulates among peers would never grow.
   static constexpr base::Duration kHopAllowance = std::chrono::milliseconds(200);
 
-  /// Notes that the store has refused a call, or not answered it.
+  /// Notes that the store has rejected a call or not answered it.
   void NoteFailure(std::span<const BalancerAge> others, base::TimePoint now);
 
   /// Returns whether this balancer is to call the store now.
   bool ShouldRead(std::span<const BalancerAge> others, base::TimePoint now);
 
-  /// Returns how long ago the store was heard, by this balancer or another one, or nothing.
+  /// Returns the time since this or another balancer last reached the store, or nothing if no
+  /// contact is known.
   std::optional<base::Duration> Age(base::TimePoint now) const;
 
-  /// Returns whether that is so long ago that the readers must have failed.
+  /// Returns whether the last contact is so old that the readers must have failed.
   bool IsStale(base::TimePoint now) const;
 
-  /// Returns whether peers are to be told of the last contact, and counts them as told.
+  /// Returns whether the last contact is to be gossiped to peers. If so, it counts as gossiped.
   bool TakeContactUpdate();
 
-  /// Returns how long a watch may wait in a deployment of few readers.
+  /// Returns how long a watch call may wait for a change.
   base::Duration WatchTimeout() const;
 
  private:
@@ -71,9 +73,9 @@
   base::TimePoint m_started_at;
   std::optional<base::TimePoint> m_heard_at;
   std::optional<base::TimePoint>
-      m_last_gossiped_contact;                    // the contact that peers were last told of
-  std::optional<base::TimePoint> m_take_over_at;  // while the knowledge is too old
-  base::TimePoint m_backoff_until{};              // after a failure
+      m_last_gossiped_contact;                    // the contact that was last gossiped to peers
+  std::optional<base::TimePoint> m_take_over_at;  // set while the last contact is too old
+  base::TimePoint m_backoff_until{};              // no reads before this time, after a failure
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -9,34 +9,34 @@
 namespace {
 
 constexpr base::Duration kSweepPeriod = std::chrono::seconds(1);
-// Ticks come several times a second; between two that are further apart the process stood still.
+// Tick() is called several times a second. A longer gap between two calls is taken for a pause.
 constexpr base::Duration kMaxTickGap = std::chrono::seconds(1);
-// How long a balancer that has just started waits for agents that nobody has named, though there
-// are said to be more: the number may be old, and any agent that lives has been in some agent's
-// list or had its turn to report by then, but for a few in a hundred.
+// How long a balancer that has just started waits for agents that no node has named, if the
+// reported number of agents is larger. That number may be outdated, and by then all but a few
+// percent of the live agents have been in some agent's list or have reported themselves.
 constexpr base::Duration kUnnamedAgentsTimeout = std::chrono::milliseconds(2000);
-// Datagrams that waited meanwhile have all been read by then.
+// Time after a start or a pause by which all datagrams that waited in the sockets have been read.
 constexpr base::Duration kResumeGracePeriod = std::chrono::milliseconds(500);
-// A copy of a packet makes its agent a suspect if it hasn't been heard for so long: those that are
-// used tell of their load four times a second.
+// A retransmission makes its flow's agent a suspect if the agent has been silent for this long.
+// Agents report their load four times a second to the balancers that use them.
 constexpr base::Duration kSuspectAfterSilence = std::chrono::milliseconds(300);
-// A suspect that answers nothing for this part of the silence limit is no longer taken for the
-// holder of a flow. Half: restarted agents were back within 0.57 s, by plan, and 0.85 s after total
-// stops (logs, docs/design/0018 and AgentQuestions::kRetryPause), and each client
-// of a flow that has gone waits for it.
+// A suspect that does not answer for the silence limit divided by this number no longer counts as
+// the holder of a flow. Half the limit is enough: restarted agents were back within 0.57 s after
+// planned restarts and 0.85 s after total stops (docs/design/0018, AgentQuestions::kRetryPause).
+// Each client of a lost flow waits for this time.
 constexpr int kSuspectLimitDivisor = 2;
 
-// How many questions to a suspect take that long.
+// Returns the number of queries to a suspect in that time.
 unsigned SuspectQueries(base::Duration silence_limit) {
-  constexpr unsigned kMinQueries = 4;  // some may be lost
+  constexpr unsigned kMinQueries = 4;  // some queries or answers may be lost
   const auto count =
       static_cast<unsigned>(silence_limit / kSuspectLimitDivisor / AgentQuestions::kRetryPause);
   return std::max(kMinQueries, count);
 }
 
-// Added to the idle time-out, by which clients and endpoints may differ.
+// Added to the configured idle time-out, because those of clients and endpoints may differ from it.
 constexpr base::Duration kIdleTimeoutMargin = std::chrono::seconds(3);
-// Past services that are remembered for an address.
+// Maximum number of past services stored for a virtual address.
 constexpr std::size_t kPastServiceLimit = 8;
 
 }  // namespace
@@ -82,8 +82,8 @@
   return true;
 }
 
-// Adds the route's services to those that ever stood behind its address, and forgets the oldest of
-// those that no longer do.
+// Moves the route's services to the end of the address's present and past services, and removes
+// the oldest past ones beyond the limit.
 void BalancerCore::NoteServices(const Route& route, std::vector<base::ServiceId>& services) {
   std::vector<base::ServiceId> present;
   for (const WeightedService& part : route.services) {
@@ -128,7 +128,7 @@
   const auto found = m_flows.find(packet.flow);
   const bool is_known = found != m_flows.end() && found->second.agent != base::SocketAddress();
   if (route == nullptr) {
-    // Without a record there is no telling a removed route from one not heard of yet.
+    // Without a record, a removed route can't be told from one that has not been received yet.
     if (!is_known) {
       return Drop(BalancerReason::kNoRoute);
     }
@@ -157,13 +157,13 @@
   return Search(packet, *route, record, 0, now);
 }
 
-// Whether the agent that the flow was given to has been silent for too long, or has gone.
+// Returns whether the flow's agent is known and no longer counts as a holder of flows.
 bool BalancerCore::IsGivenUp(const FlowRecord& record, base::TimePoint now) {
   const KnownAgent* agent = m_agents.Find(record.agent);
   return agent != nullptr && !MayHoldFlows(*agent, now);
 }
 
-// Whether the agent's endpoint admits new flows and its zone isn't evacuated.
+// Returns whether the agent's endpoint admits new flows and its zone is not evacuated.
 bool BalancerCore::AdmitsNewFlows(const KnownAgent& agent) const {
   return agent.report.standing == EndpointStanding::kAdmitting &&
          !m_evacuated.Has(agent.report.zone);
@@ -181,12 +181,12 @@
   return known == nullptr || !AgentDirectory::IsPresent(*known) || !MayHoldFlows(*known, now);
 }
 
-// Whether what is known of the agent holds, and it owes no answer.
+// Returns whether the agent's report is fresh and no query to it is overdue.
 bool BalancerCore::IsResponsive(const KnownAgent& agent, base::TimePoint now) const {
   return m_agents.IsFresh(agent, now) && !m_suspects.IsOverdue(agent.address, now);
 }
 
-// Has the agent asked for a report unless it was heard after `since`.
+// Queues a report query to the agent unless it was heard after `since`.
 void BalancerCore::Suspect(const KnownAgent& agent, base::TimePoint since, base::TimePoint now) {
   const bool is_silent = !agent.is_only_listed && agent.heard_at <= since;
   if (is_silent && m_suspects.Ask(agent.address, now)) {
@@ -194,7 +194,7 @@
   }
 }
 
-// A search got lost: one of the agents on its way has gone, and it isn't known which.
+// Suspects all agents on the route of a lost search: one of them is lost, but it is unknown which.
 void BalancerCore::SuspectRoute(const FlowRecord& record, base::TimePoint now) {
   std::vector<base::SocketAddress> route = record.route;
   route.push_back(record.agent);
@@ -206,7 +206,8 @@
   }
 }
 
-// A client that sends the same data again got no answer: its flow's agent may have gone.
+// Records a packet with data. A client that retransmits data got no answer, so the flow's agent may
+// be lost and becomes a suspect if it is silent.
 void BalancerCore::NoteData(const FlowPacket& packet, FlowRecord& record, base::TimePoint now) {
   record.acknowledged = packet.acknowledged;
   if (packet.data_size == 0) {
@@ -222,7 +223,8 @@
   }
 }
 
-// Whether the flow's agent has gone with its endpoint, and the client waits for nothing.
+// Returns whether the open flow's agent counts as lost and the client has sent no data for so long
+// that it is not waiting for a response.
 bool BalancerCore::IsDead(const FlowKey& flow, const FlowRecord& record, base::TimePoint now) {
   const Route* route = m_routes.Find(flow.destination);
   if (route == nullptr || !record.is_open || record.is_searching || !IsGivenUp(record, now)) {
@@ -233,9 +235,10 @@
   return now - record.last_data_at > reset_delay;
 }
 
-// Flows whose clients are silent are reset once their agent is given up, as those are whose clients
-// send: what is sent on them later would be lost. An agent that is only cut off may be given up as
-// well, and then its idle flows are opened anew elsewhere; answers under way are waited for.
+// Queues resets for flows whose agent counts as lost and whose clients are silent, because requests
+// sent on them later would be lost. Flows whose clients send are reset after a search. An agent
+// that is only partitioned may count as lost as well: its idle flows are then opened again
+// elsewhere, and flows that may await a response are not reset before the time limit.
 void BalancerCore::QueueFlowsOfLostAgents(base::TimePoint now) {
   if (IsLearning(now)) {
     return;
@@ -262,7 +265,8 @@
 void BalancerCore::MarkOpen(FlowRecord& record) {
   if (!record.is_open) {
     record.is_open = true;
-    // Who refused the opening may have taken a copy of it that came another way.
+    // An agent that refused the opening may have accepted a retransmission through another
+    // balancer.
     record.refused.clear();
     record.busy.clear();
   }
@@ -327,7 +331,7 @@
     return &found->second;
   }
   if (m_flows.size() >= m_settings.flow_limit) {
-    m_overflow_record = {};  // forgotten after this packet
+    m_overflow_record = {};  // valid for this packet only
     return &m_overflow_record;
   }
   return &m_flows[flow];
--- a/libs/placement/src/balancer_decision.h
+++ b/libs/placement/src/balancer_decision.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the parts of BalancerCore share.
+/// Helpers shared by the source files of BalancerCore.
 #pragma once
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 namespace gaugevalve::placement {
 
-/// Returns whether `item` is among `items`.
+/// Returns whether `items` contains `item`.
 template <std::ranges::input_range Items, class Item>
 bool Contains(const Items& items, const Item& item) {
   return std::find(items.begin(), items.end(), item) != items.end();
 }
 
-/// Appends `item` unless it is among `items`.
+/// Appends `item` unless `items` contains it.
 template <class Item>
 void AddOnce(std::vector<Item>& items, const Item& item) {
   if (!Contains(items, item)) {
@@ -29,8 +29,8 @@
   return {BalancerVerdict::kDrop, reason, {}, {}, 0};
 }
 
-/// Returns the decision to reset the packet's flow. The client takes a reset near what it has
-/// acknowledged, and any while the flow isn't open.
+/// Returns the decision to reset the packet's flow. A client accepts a reset near the last sequence
+/// number that it has acknowledged, and any reset while the flow is not open.
 inline BalancerDecision Reset(BalancerReason reason, const FlowPacket& packet) {
   return {BalancerVerdict::kReset, reason, {}, {}, packet.acknowledged};
 }
--- a/libs/placement/src/balancer_gossip.cpp
+++ b/libs/placement/src/balancer_gossip.cpp
@@ -11,33 +11,35 @@
 constexpr base::Duration kPeerPeriod = std::chrono::milliseconds(1000);
 constexpr base::Duration kJoiningPeriod = std::chrono::milliseconds(50);
 constexpr base::Duration kJoiningTime = std::chrono::seconds(5);
-// A balancer that has just started asks for everything until no listing has named anybody new for
-// so long: more than a round of peers. Each listing names the whole fleet.
+// A balancer that has just started requests full listings until no greeting has named a new node
+// for this time, which is longer than a round. The limit matters because each listing names the
+// whole fleet.
 constexpr base::Duration kFullListingQuietPeriod = std::chrono::milliseconds(1500);
 constexpr base::Duration kAliveTimeout = std::chrono::milliseconds(4000);
 constexpr base::Duration kForgetAfter = std::chrono::seconds(60);
-// Seeds are written to as well until this many others are alive.
+// Seeds are greeted as well while fewer than this many other balancers are alive.
 constexpr std::size_t kMinAliveWithoutSeeds = 8;
-// Peers greeted in a round, and told of a new configuration. Six more for each that hears it reach
-// all of some hundreds within three steps.
+// Number of peers greeted in a round, and number of peers notified of a change. With six further
+// peers notified by each receiver, a change reaches some hundreds of balancers within three hops.
 constexpr std::size_t kPeersPerRound = 3;
 constexpr std::size_t kPeersNotifiedOfChange = 6;
-// Peers told of a contact with the store: two each reach most of all within some steps, and the
-// rounds the others.
+// Number of peers notified of a contact with the store. With two per receiver the contact reaches
+// most balancers within a few hops; rounds reach the others.
 constexpr std::size_t kPeersNotifiedOfContact = 2;
-// What a round's greeting lists of each kind.
+// Number of balancers, and of agents, listed in a round's greeting.
 constexpr std::size_t kSampleSize = 8;
-// What each datagram of a whole listing holds; it stays below 1,400 bytes.
+// Number of balancers, and of agents, in each datagram of a full listing. Datagrams stay below
+// 1,400 bytes.
 constexpr std::size_t kListingPartSize = 45;
-// A balancer that has just started asks this many peers for everything they know.
+// Maximum number of full listings that Ask() requests from peers named by other nodes.
 constexpr unsigned kMaxFullListingRequests = 4;
-// Agents asked at a tick for the others they know, while some that are said to be there have not
-// been named: their first answers may have been lost, or held back as too many asked.
+// Number of agents asked per tick for the other agents that they know, while fewer agents have been
+// named than are reported to exist. First answers may be lost, or suppressed by the rate limit.
 constexpr std::size_t kAgentsRequeriedPerTick = 4;
-// Agents and balancers that a greeting of an agent lists.
+// Numbers of agents and balancers listed in a greeting to an agent.
 constexpr std::size_t kAgentsForAgent = 4;
 constexpr std::size_t kBalancersForAgent = 6;
-// An agent hears about this many greetings a second from all balancers together.
+// Approximate number of greetings a second that an agent gets from all balancers together.
 constexpr std::size_t kGreetingsPerAgent = 2;
 
 template <class Item>
@@ -159,7 +161,7 @@
   return greetings;
 }
 
-// Asks for a report, and says what the agent needs for the flows that may follow.
+// Returns a query for a report. It carries the warm-up rate, which the agent needs for new flows.
 OutgoingGreeting BalancerGossip::AskAgent(const base::SocketAddress& address,
                                           base::TimePoint now) const {
   OutgoingGreeting question{address, GreetingWithoutLists(true, now)};
@@ -190,7 +192,7 @@
 }
 
 std::vector<OutgoingGreeting> BalancerGossip::PeerRound(base::TimePoint now) {
-  // Peers that were asked first may have been as young as this balancer.
+  // Requests are repeated, because the first peers may have just started as well.
   const bool is_joining =
       now - m_started_at < kJoiningTime && now - m_last_new_node_at < kFullListingQuietPeriod;
   const bool wants_all = is_joining || m_balancers.Alive(now).empty();
@@ -234,7 +236,7 @@
   return greetings;
 }
 
-// Tells a few peers that the store was heard; they do the same.
+// Notifies a few peers of a new contact with the store; they notify further ones.
 void BalancerGossip::GossipStoreContact(base::TimePoint now,
                                         std::vector<OutgoingGreeting>& greetings) {
   const std::vector<BalancerAge> alive = m_balancers.Alive(now);
@@ -244,7 +246,7 @@
   NotifyRandomPeers(kPeersNotifiedOfContact, now, greetings);
 }
 
-// Without any list: for news.
+// Returns a greeting without lists of nodes, for notifications of changes and queries.
 BalancerGreeting BalancerGossip::GreetingWithoutLists(bool wants_answer,
                                                       base::TimePoint now) const {
   BalancerGreeting greeting;
@@ -288,8 +290,8 @@
   const std::vector<ListedAgent> agents = ListAgents();
   const std::size_t most = std::max(balancers.size(), agents.size());
   if (!m_listings.Take(now, most / kListingPartSize + 1)) {
-    greetings.push_back(
-        {receiver, GreetingWithSamples(false, now)});  // others are named, who can be asked
+    // Over the rate limit, the receiver gets a sample: it can ask the balancers in it.
+    greetings.push_back({receiver, GreetingWithSamples(false, now)});
     return;
   }
   for (std::size_t first = 0; first == 0 || first < most; first += kListingPartSize) {
--- a/libs/placement/src/balancer_list.cpp
+++ b/libs/placement/src/balancer_list.cpp
@@ -5,7 +5,7 @@
 namespace gaugevalve::placement {
 namespace {
 
-// Gossip renews what is known of one of this many balancers at least once in this time for each.
+// Time per known balancer within which gossip renews the age of each of them at least once.
 constexpr base::Duration kAliveTimePerBalancer = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/libs/placement/src/balancer_placement.cpp
+++ b/libs/placement/src/balancer_placement.cpp
@@ -1,5 +1,5 @@
-// BalancerCore's part that gives new flows to endpoints: the least loaded of those that a flow
-// prefers, and what becomes of an opening that comes back or gets no answer.
+// Placement of new flows by BalancerCore: selects the least loaded of the flow's preferred
+// endpoints, and handles openings that are returned or get no answer.
 #include <algorithm>
 #include <vector>
 
@@ -11,26 +11,26 @@
 namespace gaugevalve::placement {
 namespace {
 
-// A request that would wait for longer than this part of its target latency is refused at once.
+// A flow is reset at once if its request would not be answered within this percentage of its target
+// latency at any endpoint.
 constexpr int kWaitPercent = 60;
-// After this many full endpoints, the least loaded by their reports, the others are likely full
-// too.
+// Maximum number of full endpoints that an opening is offered to. They are the least loaded by
+// their reports, so the others are likely to be full as well.
 constexpr std::size_t kMaxBusyTries = 7;
-// Endpoints that an opening is offered to although they are full, one after the other.
+// Maximum number of endpoints that an opening is sent to with must_accept, one after the other.
 constexpr unsigned kMaxForcedTries = 3;
-// The part of openings that try an ejected endpoint, while there is one. Most are given back, which
-// costs them a millisecond or two. Chosen so that an endpoint of a busy service gets a trial within
-// a second or so; no other part was measured.
+// Fraction of openings that try an ejected endpoint while there is one. Most of them are returned,
+// which delays them by one or two milliseconds. At this fraction an ejected endpoint of a busy
+// service gets a trial within about a second.
 constexpr double kTrialFraction = 0.05;
-// For so long a balancer gives nothing to a cold endpoint that has just returned an opening. Its
-// agent counts over a second, so that much of a second's part is free again by then; chosen, not
-// measured against other pauses.
+// Time for which a balancer sends no openings to a warming-up endpoint that has just returned one.
+// The agent counts openings over one second, so a tenth of its limit is free again by then.
 constexpr base::Duration kWarmUpPause = std::chrono::milliseconds(100);
-// Copies that come later than this after an opening are its client's, which waited 200 ms for an
-// answer; others were doubled on their way.
+// A copy of an opening that arrives later than this is the client's retransmission, which it sends
+// after 200 ms without an answer. An earlier copy was duplicated by the network.
 constexpr base::Duration kMinRetransmitDelay = std::chrono::milliseconds(150);
 
-// How long a new request of the priority would wait at an endpoint all of whose slots are in use.
+// Returns how long a new request of the priority would wait for a slot at the endpoint.
 base::Duration ExpectedWait(const KnownAgent& agent, std::uint8_t priority) {
   const EndpointLoad& load = agent.report.load;
   const std::uint32_t behind = std::min(load.busy, CountBehind(load.queued, priority));
@@ -40,7 +40,7 @@
   return load.answer_time * ahead / capacity;
 }
 
-// Whether a new request on the route is likely to be answered in time at a full endpoint.
+// Returns whether a new request on the route is likely to be answered in time at a full endpoint.
 bool WouldMeetTargetLatency(const KnownAgent& agent, const Route& route) {
   const base::Duration expected =
       ExpectedWait(agent, route.request_class.priority) + agent.report.load.answer_time;
@@ -48,8 +48,8 @@
   return target.count() == 0 || expected < target * kWaitPercent / 100;
 }
 
-// The number of requests at an endpoint from which on a new one would come too late; see
-// WouldMeetTargetLatency().
+// Returns the number of requests at an endpoint from which a new one would miss its target latency
+// (see WouldMeetTargetLatency()), or 0 for no limit.
 std::uint8_t BusyLimit(const KnownAgent& agent, const Route& route) {
   const EndpointLoad& load = agent.report.load;
   const base::Duration target = route.request_class.target_latency;
@@ -91,9 +91,10 @@
   return Place(packet, *route, record, 0, now);
 }
 
-// Whether the agent that got the opening seems to have gone: its client sends a copy since nobody
-// answered, and the agent hasn't been heard since either. Should the endpoint have taken the
-// opening after all, the client goes on with whoever answers first, which a search finds.
+// Returns whether the agent that got the opening seems to be lost: the client retransmits because
+// it got no answer, and the agent has been silent since the opening. If the endpoint has accepted
+// the opening nevertheless, the client continues with the endpoint that answers first, which a
+// search finds.
 bool BalancerCore::IsOpeningLost(const KnownAgent& agent, const FlowRecord& record,
                                  base::TimePoint now) {
   const bool is_unheard = agent.unanswered_since && *agent.unanswered_since <= record.held_since;
@@ -141,9 +142,10 @@
       (IsResponsive(*agent, now) ? fresh : stale).push_back(agent);
     }
   }
-  // The few agents heard first can't carry what all of them do: a young balancer also uses those
-  // that others named. An agent whose endpoint takes no flows gives the opening back, but one that
-  // is as young may not know yet that its zone, which isn't known here, is evacuated.
+  // The few agents that are heard first can't carry the load of all, so a learning balancer also
+  // uses agents that other nodes named. An agent whose endpoint admits no flows returns the
+  // opening. During an evacuation they are not used: their zones are unknown here, and an agent
+  // that has just started may not know yet that its zone is evacuated.
   const bool may_use_named = m_evacuated.zones.empty() && IsLearning(now);
   if (named.size() > fresh.size() && may_use_named) {
     fresh.insert(fresh.end(), named.begin(), named.end());
@@ -151,7 +153,7 @@
   return fresh.empty() ? stale : fresh;
 }
 
-// A cold endpoint has got what it bears: others are asked at once, and it gets no more for a while.
+// A warming-up endpoint has reached its rate of new flows: it gets no openings for kWarmUpPause.
 void BalancerCore::PauseWarmingUpAgent(const base::SocketAddress& address, base::TimePoint now) {
   KnownAgent* agent = m_agents.Find(address);
   if (agent != nullptr) {
@@ -159,8 +161,9 @@
   }
 }
 
-// The least loaded endpoints were full: the one with the shortest queue has to take the flow, if
-// that is worth it. What comes back from it is final.
+// Places a flow after the least loaded endpoints were full: the endpoint with the shortest queue
+// has to accept it, if it is likely to answer in time. Otherwise an ejected endpoint gets the flow,
+// or the flow is reset.
 BalancerDecision BalancerCore::PlaceBusy(const FlowPacket& packet, const Route& route,
                                          FlowRecord& record, std::uint8_t attempt,
                                          base::TimePoint now) {
@@ -182,7 +185,7 @@
   if (best != nullptr && WouldMeetTargetLatency(*best, route)) {
     return ForwardMustAccept(*best, route, record, attempt, now);
   }
-  // An endpoint that fails some requests is better than none.
+  // An ejected endpoint fails only some requests, so it is better than none.
   KnownAgent* ejected = m_chooser.Choose(EjectedAgents(record, now), now);
   if (ejected != nullptr && WouldMeetTargetLatency(*ejected, route)) {
     return ForwardMustAccept(*ejected, route, record, attempt, now);
@@ -195,8 +198,8 @@
   return Reset(was_refused ? BalancerReason::kAllRefused : BalancerReason::kNoEndpoint, packet);
 }
 
-// Passes an opening to an agent that has to take it, unless its queue, which only it knows exactly,
-// has become too long meanwhile.
+// Forwards an opening to an agent that has to accept it, unless its queue has become too long in
+// the meantime. Only the agent knows the exact length of its queue.
 BalancerDecision BalancerCore::ForwardMustAccept(KnownAgent& agent, const Route& route,
                                                  FlowRecord& record, std::uint8_t attempt,
                                                  base::TimePoint now) {
@@ -211,20 +214,20 @@
   return decision;
 }
 
-// An endpoint whose queue had grown too long is passed over for the next one; any other return of
-// an opening that had to be accepted is final.
+// Handles the return of an opening sent with must_accept. If the endpoint's queue had become too
+// long, the next endpoint is tried, up to kMaxForcedTries. Any other return resets the flow.
 BalancerDecision BalancerCore::OnMustAcceptReturned(const FlowPacket& packet, const Route& route,
                                                     FlowRecord& record, const ForwardHeader& header,
                                                     base::TimePoint now) {
   if (header.reason == ReturnReason::kBusy && record.must_accept_attempts < kMaxForcedTries) {
-    std::erase(record.busy, record.agent);  // it is refused for good now
+    std::erase(record.busy, record.agent);  // no further try: it stays in record.refused only
     return PlaceBusy(packet, route, record, static_cast<std::uint8_t>(header.attempt + 1), now);
   }
   m_flows.erase(packet.flow);
   return Reset(BalancerReason::kAllRefused, packet);
 }
 
-// The agents whose endpoints fail requests, that were heard lately and haven't refused the flow.
+// Returns the responsive agents whose endpoints are ejected and which have not refused the flow.
 std::vector<KnownAgent*> BalancerCore::EjectedAgents(const FlowRecord& record,
                                                      base::TimePoint now) {
   std::vector<KnownAgent*> ejected;
@@ -237,8 +240,8 @@
   return ejected;
 }
 
-// Now and then an opening goes to an ejected endpoint, whose agent takes one at a time as a trial
-// and gives the others back.
+// Returns an ejected endpoint's agent for a fraction of the openings, or null. The agent accepts
+// one opening at a time as a trial and returns the others.
 KnownAgent* BalancerCore::TakeTrial(const FlowRecord& record, base::TimePoint now) {
   const std::vector<KnownAgent*> ejected = EjectedAgents(record, now);
   if (ejected.empty() || m_random.NextUnit() >= kTrialFraction) {
--- a/libs/placement/src/balancer_recovery.cpp
+++ b/libs/placement/src/balancer_recovery.cpp
@@ -1,4 +1,4 @@
-// BalancerCore's part that saves its open flows and makes use of what its former life saved.
+// Recovery by BalancerCore: saves open flows, and uses those saved before its restart.
 #include <algorithm>
 #include <vector>
 
@@ -8,9 +8,9 @@
 namespace gaugevalve::placement {
 namespace {
 
-// A flow is saved together with the endpoint's incarnation once its agent has reported that so long
-// after the flow was opened: an incarnation that had just started by then would have announced
-// itself, though it may be seconds late.
+// A flow is saved with its endpoint's incarnation once the agent has reported that incarnation this
+// long after the flow was assigned to it. A newer incarnation, which had started by then, would
+// have announced itself in this time, though announcements may be seconds late.
 constexpr base::Duration kMinHeldTime = std::chrono::seconds(3);
 
 }  // namespace
@@ -44,8 +44,8 @@
   return flows;
 }
 
-// Flows of the former life's snapshot whose clients haven't been heard since are saved again while
-// their endpoint lives: a balancer may be restarted shortly before everything stops.
+// Adds the loaded snapshot's flows that have had no packet since the restart, if their endpoint's
+// incarnation is still alive: a balancer may be restarted shortly before all processes stop.
 void BalancerCore::AddUnseenSavedFlows(std::vector<SavedFlow>& flows) {
   for (const SavedFlow& saved : m_recovery.Remaining()) {
     const KnownAgent* agent = m_agents.Find(saved.agent);
@@ -64,7 +64,7 @@
   }
 }
 
-// Hands out the flows that died with the endpoint beside the agent.
+// Queues resets for the saved flows that died with a former incarnation of the agent's endpoint.
 void BalancerCore::QueueFlowsOfDeadIncarnations(const base::SocketAddress& address) {
   const KnownAgent* agent = m_agents.Find(address);
   if (m_recovery.Size() == 0 || agent == nullptr || agent->is_only_listed) {
@@ -79,8 +79,8 @@
   }
 }
 
-// Whether the flow, which the agent's endpoint gave back, is known to have died with the endpoint's
-// former incarnation. It is forgotten then.
+// Notes that the agent's endpoint returned the flow. Returns whether the flow is known to have died
+// with the endpoint's former incarnation; it is then removed from the saved flows.
 bool BalancerCore::DiedWithEndpoint(const FlowKey& flow, const base::SocketAddress& agent) {
   const SavedFlow* saved = m_recovery.Find(flow);
   if (saved == nullptr || saved->agent != agent) {
@@ -91,8 +91,8 @@
   return m_recovery.Find(flow) == nullptr;
 }
 
-// Whether the agent that held the flow before everything stopped is known; the record names it
-// then.
+// Returns whether the saved flows name an agent that may still hold the flow, and sets it in the
+// record.
 bool BalancerCore::FindSavedHolder(const FlowKey& flow, FlowRecord& record, base::TimePoint now) {
   const SavedFlow* saved = m_recovery.Find(flow);
   const KnownAgent* agent = saved == nullptr ? nullptr : m_agents.Find(saved->agent);
--- a/libs/placement/src/balancer_search.cpp
+++ b/libs/placement/src/balancer_search.cpp
@@ -1,5 +1,4 @@
-// BalancerCore's search for the agent whose endpoint holds a flow that the balancer doesn't
-// remember.
+// Searches by BalancerCore for the agent whose endpoint holds a flow without a record.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -12,36 +11,39 @@
 namespace gaugevalve::placement {
 namespace {
 
-// A packet is passed on at most this often more than there are agents to ask.
+// A packet is forwarded at most twice per possible holder plus this number of times, and never
+// more than kMaxPasses times.
 constexpr std::size_t kExtraPasses = 8;
 constexpr std::size_t kMaxPasses = 250;
-// Agents of services that aren't behind the route and may hold its flows all the same, for all that
-// is known: no more are asked for one flow, as a packet can be passed on 255 times. Where there are
-// more, a flow that isn't found is left alone instead of reset.
+// Maximum number of agents of services outside the route that are searched for its flows, because
+// they may hold flows of a former configuration. A packet can be forwarded at most 255 times. If
+// there are more such agents, none of them is asked, and a flow that is not found is not reset.
 constexpr std::size_t kMaxUncertainHolders = 192;
-// Clients send again after 200 ms; a search that takes this long has met an agent that has gone.
+// A search that takes longer than this was lost at an agent that has stopped. Clients retransmit
+// after 200 ms.
 constexpr base::Duration kSearchTimeout = std::chrono::milliseconds(150);
 
 }  // namespace
 
-// Whether a search's packet should have found the holder, or come back, by now.
+// Returns whether the current search neither found the holder nor returned its packet in time.
 bool BalancerCore::IsSearchLost(const FlowRecord& record, base::TimePoint now) {
   return record.is_searching && !record.is_confirmed && now - record.searched_at > kSearchTimeout;
 }
 
-// Whether the agent's endpoint may hold flows of an address that its service isn't behind any more.
+// Returns whether the agent's endpoint may hold flows of an address whose route no longer has the
+// endpoint's service.
 bool MayHoldFlowsOf(const base::SocketAddress& address, const KnownAgent& agent) {
   const HeldAddresses& held = agent.report.held;
   return agent.is_only_listed || held.may_be_more || held.Has(address);
 }
 
-// The services that are or were behind the route, as far as this balancer has seen.
+// Returns the route's present services and the past ones that this balancer has seen.
 std::span<const base::ServiceId> BalancerCore::ServicesOf(const Route& route) const {
   const auto past = m_past_services.find(route.address);
   return past == m_past_services.end() ? std::span<const base::ServiceId>() : past->second;
 }
 
-// The agents that may hold a flow of the route.
+// Returns the agents that may hold a flow of the route.
 std::vector<KnownAgent*> BalancerCore::PossibleHolders(const Route& route, base::TimePoint now) {
   std::vector<KnownAgent*> holders;
   for (const base::ServiceId service : ServicesOf(route)) {
@@ -58,8 +60,9 @@
   return holders;
 }
 
-// A configuration may drop a service from a route, and its endpoints keep their flows. A balancer
-// that wasn't there then learns of them from their agents.
+// Returns the agents of other services whose endpoints may hold flows of the route. A configuration
+// may remove a service from a route, and its endpoints keep their flows. A balancer that started
+// later learns of these flows from the agents' reports.
 std::vector<KnownAgent*> BalancerCore::HoldersOfOtherServices(const Route& route,
                                                               base::TimePoint now) {
   std::vector<KnownAgent*> holders = m_agents.OutsideServices(ServicesOf(route));
@@ -69,16 +72,17 @@
   return holders;
 }
 
-// Whether a flow that nobody asked holds may be held by one of those who weren't asked.
+// Returns whether agents outside the route's services were left out of the search because there
+// are too many of them.
 bool BalancerCore::HasTooManyPossibleHolders(const Route& route, base::TimePoint now) {
   return HoldersOfOtherServices(route, now).size() > kMaxUncertainHolders;
 }
 
-// Orders agents for a search. Those that the flow prefers come first, the own zone's before others,
-// and even those of them that were only named: the flow is most likely there. Among the others come
-// those of other services late, and last those that seem to be gone. After a search that got lost
-// those that were heard since it began come first, as any of the others may be where it ended, and
-// each such search takes another order.
+// Orders agents for a search. The flow's preferred agents come first, because one of them most
+// likely holds the flow; agents of the own zone precede others of the same tier. The other agents
+// follow. Within both groups, agents of other services come late and unresponsive ones last. After
+// a lost search, agents heard since it began come first, because it may have ended at any of the
+// others, and the order within a zone changes.
 void BalancerCore::OrderForSearch(std::vector<KnownAgent*>& agents, const Route& route,
                                   const FlowPacket& packet, const FlowRecord& record,
                                   base::TimePoint now) const {
@@ -118,7 +122,7 @@
                                       base::TimePoint now) {
   std::vector<KnownAgent*> order = PossibleHolders(route, now);
   OrderForSearch(order, route, packet, record, now);
-  // Afterwards: an agent's place is among all, whoever was asked before.
+  // Removed after the ranking: an agent's rank is among all agents, including those asked before.
   std::erase_if(order,
                 [&](const KnownAgent* agent) { return Contains(record.refused, agent->address); });
   if (order.empty()) {
@@ -130,7 +134,8 @@
   record.is_searching = true;
   ++record.search_round;
   record.route.clear();
-  // Agents that may be gone would end the packet's way: they are asked last, one by one.
+  // A lost agent would swallow the packet, so unresponsive agents are not on a route: they are
+  // asked last, one by one.
   for (std::size_t index = 1; index < order.size(); ++index) {
     const KnownAgent& agent = *order[index];
     const bool may_join_route = IsResponsive(*order.front(), now) && IsResponsive(agent, now) &&
@@ -147,7 +152,7 @@
                                             FlowRecord& record, base::TimePoint now) {
   const bool is_conclusive =
       !record.refused.empty() && !IsLearning(now) && !HasTooManyPossibleHolders(route, now);
-  m_flows.erase(packet.flow);  // the next packet starts anew
+  m_flows.erase(packet.flow);  // the flow's next packet starts a new search
   if (packet.is_reset) {
     return Drop(BalancerReason::kReset);
   }
@@ -180,7 +185,7 @@
     return ForwardTo(record, BalancerReason::kRemembered, attempt);
   }
   if (packet.is_opening && record.is_open) {
-    return Drop(BalancerReason::kRemembered);  // a late copy: the flow is open
+    return Drop(BalancerReason::kRemembered);  // a delayed copy of an open flow's opening
   }
   if (!packet.is_opening) {
     MarkOpen(record);
@@ -211,8 +216,9 @@
   return Search(packet, *route, record, attempt, now);
 }
 
-// An agent on the present search's route returned the packet: those before it had passed it on. A
-// packet of an earlier search says nothing about the others.
+// Records the agents that refused the packet. If an agent on the current search's route returned
+// it, all agents before it on the route have forwarded it and thus refused it as well. A packet of
+// an earlier search implies nothing about the other agents.
 void BalancerCore::NoteRefusal(FlowRecord& record, const base::SocketAddress& agent,
                                const ForwardHeader& header) {
   const auto position = std::find(record.route.begin(), record.route.end(), agent);
--- a/libs/placement/src/flow_snapshot.cpp
+++ b/libs/placement/src/flow_snapshot.cpp
@@ -153,7 +153,7 @@
   }
 }
 
-// Whether the agent's word on its endpoint's incarnation is beyond doubt.
+// Returns whether the incarnation in the agent's report is confirmed: see kReturnsNeeded.
 bool FlowRecovery::IsIncarnationConfirmed(const base::SocketAddress& agent,
                                           const AgentReport& report) const {
   constexpr std::uint64_t kFirstAnnouncement = 1;
--- a/libs/placement/src/forward_header.cpp
+++ b/libs/placement/src/forward_header.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint8_t kSearchFlag = 1;
 constexpr std::uint8_t kMustAcceptFlag = 2;
 constexpr std::uint8_t kRouteFlag = 4;
-// Three bits with the priority's distance from the default, so that a header without it, as earlier
-// releases write, has the default.
+// Three bits with the priority XOR the default priority. Headers of earlier releases have zeros
+// there and thus the default.
 constexpr unsigned kPriorityShift = 3;
 constexpr std::uint8_t kPriorityMask = (kPriorityCount - 1) << kPriorityShift;
 constexpr std::uint8_t kKnownFlags = kSearchFlag | kMustAcceptFlag | kRouteFlag | kPriorityMask;
--- a/libs/placement/src/node_message.cpp
+++ b/libs/placement/src/node_message.cpp
@@ -11,10 +11,10 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr std::uint32_t kMaxMilliseconds = 3'600'000;  // an hour; more is malformed
-constexpr std::size_t kMaxTextBytes = 200;             // bytes of a zone's or endpoint's name
+constexpr std::uint32_t kMaxMilliseconds = 3'600'000;  // an hour; longer durations are clamped
+constexpr std::size_t kMaxTextBytes = 200;             // limit for a zone's or endpoint's name
 constexpr unsigned kPortBits = 16;
-constexpr std::uint32_t kMaxAgents = 100'000;  // that a balancer may say it knows
+constexpr std::uint32_t kMaxAgents = 100'000;  // larger reported numbers of agents are clamped
 
 std::uint32_t ToMilliseconds(base::Duration duration) {
   const auto count = duration_cast<milliseconds>(duration).count();
@@ -53,7 +53,7 @@
   }
 }
 
-// A list that is too long, or has names that are, says nothing.
+// Reads a list of evacuated zones. One that is too long or has too long names is ignored.
 EvacuatedZones ReadEvacuated(const proto::EvacuatedZones& message) {
   const bool has_fault =
       static_cast<std::size_t>(message.zones_size()) > EvacuatedZones::kMaxZones ||
@@ -71,7 +71,7 @@
   message.set_has_all_held_addresses(!held.may_be_more);
 }
 
-// A list that is too long is cut, and then says no longer that it is complete.
+// Reads the list of held addresses. One that is too long is truncated and marked as incomplete.
 HeldAddresses ReadHeld(const proto::AgentReport& message) {
   HeldAddresses held;
   const auto count = std::min<std::size_t>(static_cast<std::size_t>(message.held_addresses_size()),
--- a/libs/placement/src/report_schedule.cpp
+++ b/libs/placement/src/report_schedule.cpp
@@ -9,20 +9,22 @@
 namespace gaugevalve::placement {
 namespace {
 
-// An agent sends at most 40 reports a second in rounds.
+// Limits the reports that an agent sends in rounds to 40 a second.
 constexpr base::Duration kPeriodPerBalancer = std::chrono::milliseconds(25);
-// A balancer hears at most 12.5 reports a second in rounds, 1.6 KB with headers.
+// Limits the reports that a balancer gets in rounds to 12.5 a second, or 1.6 KB a second with
+// headers.
 constexpr base::Duration kPeriodPerAgent = std::chrono::milliseconds(80);
-// In its first seconds an agent reports at least this often.
+// In the first kJoiningTime after its start an agent's rounds last at most kJoiningPeriod, or
+// kJoiningPeriodPerBalancer for each balancer if that is longer.
 constexpr base::Duration kJoiningTime = std::chrono::seconds(3);
 constexpr base::Duration kJoiningPeriod = std::chrono::milliseconds(500);
 constexpr base::Duration kJoiningPeriodPerBalancer = std::chrono::milliseconds(2);
-// Rounds up to this length aren't spread: as long as those of an agent's first seconds.
+// Rounds up to this length are not spread. It is the length of an agent's first rounds.
 constexpr base::Duration kSpreadThreshold = std::chrono::milliseconds(500);
-// Where a period grows by more than this factor, all balancers are told of it first: they give an
-// agent up after three of the periods that they know.
+// If a period grows by more than this factor, a report with the new period goes to all balancers
+// first: they take an agent for lost after three of the periods that it last reported.
 constexpr int kMaxUnreportedGrowth = 2;
-// Balancers noted between two rounds; the rest waits for the round.
+// Maximum number of balancers noted as users between two rounds. Others get the round's report.
 constexpr std::size_t kUserLimit = 4'096;
 
 }  // namespace
@@ -48,7 +50,7 @@
   m_users.clear();
   const bool is_spread = m_period > kSpreadThreshold && now - m_round_at < m_period;
   if (is_spread) {
-    return;  // it goes on: a balancer that starts now is told in its turn
+    return;  // the spread round continues: a balancer that starts now gets a report in its turn
   }
   m_period = NextPeriod(balancers, now);
   m_round_at = now;
@@ -60,13 +62,13 @@
                                 base::TimePoint now) {
   const base::Duration before = m_period;
   m_period = NextPeriod(balancers.size(), now);
-  // Balancers judge the agent's silence by the period that they were told last.
+  // Balancers judge the agent's silence by the period that it last reported to them.
   m_reports_to_all = m_period <= kSpreadThreshold || m_period > before * kMaxUnreportedGrowth;
   m_round_at = now;
   const auto rank = [salt](const base::SocketAddress& balancer) {
     return base::HashPair(salt, AddressHash(balancer));
   };
-  // The same order in each round: a balancer hears the agent once in a period.
+  // The order is the same in each round, so that each balancer gets one report per period.
   std::sort(balancers.begin(), balancers.end(),
             [&](const auto& left, const auto& right) { return rank(left) < rank(right); });
   m_round = std::move(balancers);
@@ -98,7 +100,7 @@
 
 void ReportSchedule::NoteUse(const base::SocketAddress& balancer) {
   if (m_period <= kMinPeriod) {
-    return;  // the next round comes as soon
+    return;  // the next round comes as early as a report between rounds would
   }
   if (m_users.size() < kUserLimit || m_users.contains(balancer)) {
     m_users[balancer].is_due = true;
--- a/libs/placement/src/route_table.cpp
+++ b/libs/placement/src/route_table.cpp
@@ -5,8 +5,8 @@
 namespace gaugevalve::placement {
 namespace {
 
-// Different classes of one service that agents are told; there are only so many priorities, and
-// routes of one priority seldom differ.
+// Maximum number of distinct request classes of one service that agents are told. There are few
+// priorities, and routes of one priority seldom differ.
 constexpr std::size_t kMaxClasses = 16;
 
 }  // namespace
--- a/libs/placement/src/store_reader_role.cpp
+++ b/libs/placement/src/store_reader_role.cpp
@@ -8,23 +8,26 @@
 namespace {
 
 constexpr char kDuty[] = "store reader";
-// Parts of the time in which a change has to be in force, in percent. A reader's watch ends after
-// the first; with three readers, news of a contact come three times as often. Knowledge older than
-// the second has lost its readers. Who takes over waits for the third at most; the rest is for the
-// read and for handing the configuration on.
+// Percentages of the time in which a change has to be in force. A reader's watch call ends after
+// kWatchPercent; with three readers there are three times as many contacts. A contact older than
+// kStalePercent means that all readers have failed. A balancer that takes over waits for at most
+// kTakeOverPercent. The remaining time is for the read and for distributing the configuration.
 constexpr int kWatchPercent = 40;
 constexpr int kStalePercent = 60;
 constexpr int kTakeOverPercent = 25;
-// Peers are told of a contact that is this much newer than the last one they were told of.
+// A contact is gossiped if it is newer than the last gossiped one by this percentage.
 constexpr int kContactUpdatePercent = 25;
-// Time that those who take over draw from, for each balancer: 40 reads a second by all together.
+// Window of the random delay before a take-over, per balancer. It limits the reads of all balancers
+// together to 40 a second.
 constexpr base::Duration kTakeOverWindowPerBalancer = std::chrono::milliseconds(25);
-// The same between two tries at a store that doesn't answer: 20 calls a second by all together.
+// Mean time between two calls to a store that does not answer, per balancer. It limits the calls of
+// all balancers together to 20 a second.
 constexpr base::Duration kRetryPeriodPerBalancer = std::chrono::milliseconds(50);
 constexpr base::Duration kMinRetryPeriod = std::chrono::milliseconds(250);
-// A reader that fails while others hear the store leaves it to them for so long.
+// A reader whose calls fail while other balancers reach the store does not call it for this time.
 constexpr base::Duration kFailedReaderBackoff = std::chrono::seconds(5);
-// A balancer this young doesn't know who else is there; what it has read is new enough meanwhile.
+// In this time after its start a balancer does not know its peers yet, and what it has read first
+// is recent enough.
 constexpr base::Duration kJoiningTime = std::chrono::milliseconds(500);
 
 base::Duration PercentOf(base::Duration whole, int percent) { return whole * percent / 100; }
--- a/libs/placement/tests/balancer_core_test.cpp
+++ b/libs/placement/tests/balancer_core_test.cpp
@@ -18,7 +18,7 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr std::int64_t kLearnedAtMs = 5000;  // ms; the balancer has learned of all agents
+constexpr std::int64_t kLearnedAtMs = 5000;  // time by which the balancer is no longer learning
 
 class BalancerCoreTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BalancerCoreTest);
@@ -137,7 +137,8 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kAllRefused, decision);
   }
 
-  // Found by placement_proof.
+  // Regression test for a fault found by placement_proof: the delayed return of an opening reset an
+  // open flow.
   void ALateReturnOfAnOpeningDoesNotResetAnOpenFlow() {
     Start();
     Hear(1);
@@ -161,7 +162,7 @@
     Expect(BalancerVerdict::kForward, BalancerReason::kPlaced, decision);
     CPPUNIT_ASSERT(decision.header.must_accept);
     CPPUNIT_ASSERT_EQUAL(Node(2), decision.agent);
-    // Whoever returns it now has the last word.
+    // The return of an opening sent with must_accept is final.
     decision = Return(Opening(Flow(1)), decision, ReturnReason::kNotHeld);
     Expect(BalancerVerdict::kReset, BalancerReason::kAllRefused, decision);
   }
@@ -176,7 +177,7 @@
       decision = Return(Opening(Flow(1)), decision, ReturnReason::kBusy);
     }
     CPPUNIT_ASSERT_EQUAL(Node(2), decision.agent);
-    // 60 % of 250 ms is time for two answers of 50 ms before it, on four slots.
+    // 60% of 250 ms leaves time for two responses of 50 ms before it, on each of four slots.
     CPPUNIT_ASSERT_EQUAL(12, +decision.header.busy_limit);
     decision = Return(Opening(Flow(1)), decision, ReturnReason::kBusy);
     CPPUNIT_ASSERT(decision.header.must_accept);
@@ -189,7 +190,7 @@
       Hear(number, 5);
     }
     BalancerDecision decision = Send(Opening(Flow(1)));
-    for (int count = 0; count < 9; ++count) {  // seven that are full, then three
+    for (int count = 0; count < 9; ++count) {  // seven full ones, then three with must_accept
       decision = Return(Opening(Flow(1)), decision, ReturnReason::kBusy);
       CPPUNIT_ASSERT(decision.verdict == BalancerVerdict::kForward);
     }
@@ -232,7 +233,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, asked.size());
   }
 
-  // A balancer with little processor can't afford a packet in and out for each agent that is asked.
+  // A balancer with little CPU time can't receive and send a packet for each agent that is asked.
   void ASearchPacketCarriesTheRouteOfAllAgents() {
     Start();
     HearThree();
@@ -241,7 +242,7 @@
     std::set<base::SocketAddress> asked(decision.route.begin(), decision.route.end());
     asked.insert(decision.agent);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, asked.size());
-    // The flow's next packet goes the same way until the holder is known.
+    // The flow's next packet takes the same route until the holder is known.
     CPPUNIT_ASSERT(Send(Data(Flow(1), 111)).route == decision.route);
     const BalancerDecision last = ReturnFrom(decision.route.back(), decision);
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, last);
@@ -271,7 +272,7 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);
   }
 
-  // An agent that ends at that moment swallows what is passed on to it.
+  // An agent that stops during the search loses the packets that are forwarded to it.
   void ALostSearchIsRepeatedInAnotherOrder() {
     Start();
     for (std::uint32_t number = 1; number <= 8; ++number) {
@@ -281,7 +282,8 @@
     for (int round = 0; round < 6; ++round) {
       const BalancerDecision decision = Send(Data(Flow(1), 101));
       CPPUNIT_ASSERT_EQUAL(std::size_t{7}, decision.route.size());
-      CPPUNIT_ASSERT_EQUAL(decision.agent, Send(Data(Flow(1), 111)).agent);  // close behind it
+      CPPUNIT_ASSERT_EQUAL(decision.agent,
+                           Send(Data(Flow(1), 111)).agent);  // while the search runs
       first_asked.insert(decision.agent);
       m_now += std::chrono::milliseconds(200);
       for (std::uint32_t number = 1; number <= 8; ++number) {
@@ -291,7 +293,8 @@
     CPPUNIT_ASSERT(first_asked.size() > 2);
   }
 
-  // Found by placement_proof: agents that the present search hadn't reached were taken as asked.
+  // Regression test for a fault found by placement_proof: agents that the current search had not
+  // reached were counted as having refused.
   void AReturnFromAnEarlierSearchRefusesForOneAgentOnly() {
     Start();
     for (std::uint32_t number = 1; number <= 8; ++number) {
@@ -345,8 +348,8 @@
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, decision);
   }
 
-  // Seen on a day with a power loss: a machine came back for a second, was heard once and taken
-  // away; searches ended at it, and clients of dead flows waited for their deadline.
+  // After a power loss a machine came back for one second, was heard once and was removed. Searches
+  // ended at its agent, and clients of dead flows waited until their deadline.
   void AnAgentThatIsSilentForLongIsGivenUp() {
     Start();
     Hear(1);
@@ -355,7 +358,7 @@
     BalancerDecision decision = Send(Data(Flow(1), 101));
     CPPUNIT_ASSERT_EQUAL(Node(2), decision.agent);
     decision = Return(Data(Flow(1), 101), decision, ReturnReason::kNotHeld);
-    CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);  // it may come back
+    CPPUNIT_ASSERT_EQUAL(Node(1), decision.agent);  // it may still answer
     m_now += std::chrono::milliseconds(200);
     Expect(BalancerVerdict::kReset, BalancerReason::kHeldByNone, Send(Data(Flow(1), 101)));
   }
@@ -374,7 +377,8 @@
     Expect(BalancerVerdict::kForward, BalancerReason::kSearched, unknown);
   }
 
-  // What it knew may be old: until it has heard the agents again, nothing is certain.
+  // What the balancer knew before a pause may be outdated, so it resets no flow until it has heard
+  // the agents again.
   void ABalancerLearnsAgainAfterAPause() {
     Start();
     Hear(1);
@@ -416,8 +420,8 @@
     CPPUNIT_ASSERT_EQUAL(Node(2), Send(Opening(Flow(1))).agent);
   }
 
-  // The opening was lost with its agent: the client's time is nearly over when the second copy
-  // comes.
+  // If the opening was lost with its agent, the first retransmission has to go elsewhere: the
+  // client's time limit has almost passed when it sends the second one.
   void TheFirstRetransmissionMovesFromAnAgentNotHeardSince() {
     Start();
     HearThree();
@@ -470,7 +474,8 @@
     CPPUNIT_ASSERT(!decision.header.is_search);
   }
 
-  // Found by placement_proof: the record's service was unknown, so the holder returned the packet.
+  // Regression test for a fault found by placement_proof: the record had no service, so the holder
+  // returned the packet.
   void AHolderNoticeCountsBeforeTheFirstReport() {
     Start();
     m_core->OnHolderNotice(Flow(1), Node(3), orders_service, m_now);
@@ -479,8 +484,8 @@
     CPPUNIT_ASSERT(orders_service == decision.header.service);
   }
 
-  // A copy of the opening, through another balancer, may have opened the flow at an agent that had
-  // refused it here.
+  // A retransmitted opening through another balancer may have opened the flow at an agent that
+  // refused the opening from this one.
   void AnAgentThatRefusedTheOpeningMayHoldTheFlow() {
     Start();
     Hear(1);
@@ -508,7 +513,7 @@
     Start();
     HearThree();
     const BalancerDecision first = Send(Data(Flow(1), 101));
-    Send(Data(Flow(1), 111));  // to the same agent, behind it
+    Send(Data(Flow(1), 111));  // goes to the same agent
     const BalancerDecision second = Return(Data(Flow(1), 101), first, ReturnReason::kNotHeld);
     const BalancerDecision third = Return(Data(Flow(1), 111), first, ReturnReason::kNotHeld);
     CPPUNIT_ASSERT_EQUAL(second.agent, third.agent);
@@ -548,7 +553,7 @@
     moved.routes[testing::virtual_address].services = {{testing::drawings_service, 1}};
     CPPUNIT_ASSERT(m_core->SetRoutes(moved));
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(1), 101)).agent);
-    // Also where the flow isn't remembered: the former service's agents are asked.
+    // A flow without a record is searched for at the agents of the former service.
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Data(Flow(2), 101)).agent);
   }
 
@@ -569,7 +574,7 @@
       m_core->SetRoutes(RoutesOfServices(2 + number, number, 2));
       HearOfService(number);
     }
-    // The present service that is heard, and eight of the past.
+    // The one present service that was heard, and eight past ones.
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, AgentsAsked());
   }
 
@@ -626,14 +631,15 @@
     return routes;
   }
 
-  // One agent of the service is heard, under the service's number.
+  // Delivers a report from one agent of the service; the agent has the service's number.
   void HearOfService(std::uint32_t number) {
     AgentReport report = Report(1);
     report.service = NumberedService(number);
     m_core->OnReport(Node(number), report, m_now);
   }
 
-  // Lets the agents of each route return a packet of an unknown flow; returns how many were asked.
+  // Lets the agents of each search route return a packet of an unknown flow. Returns how many
+  // agents were asked.
   std::size_t AgentsAsked() {
     std::size_t asked = 0;
     BalancerDecision decision = Send(Data(Flow(1), 101));
@@ -666,13 +672,13 @@
     return m_core->OnReturnedPacket(packet, header, decision.agent, m_now);
   }
 
-  // A later agent of a search's route returns the packet.
+  // Lets `agent`, which is on a search's route, return the packet.
   BalancerDecision ReturnFrom(const base::SocketAddress& agent, BalancerDecision decision) {
     decision.agent = agent;
     return Return(Data(Flow(1), 101), decision, ReturnReason::kNotHeld);
   }
 
-  // Lets each agent return the packet; returns what became of it.
+  // Lets each agent return the packet. Returns the final decision.
   BalancerDecision ReturnFromAllAgents(const FlowPacket& packet) {
     BalancerDecision decision = Send(packet);
     while (decision.verdict == BalancerVerdict::kForward) {
--- a/libs/placement/tests/balancer_gossip_test.cpp
+++ b/libs/placement/tests/balancer_gossip_test.cpp
@@ -18,7 +18,7 @@
 using testing::Routes;
 
 constexpr std::uint32_t kFirstAgent = 10'000;
-constexpr std::size_t kDatagramLimit = 1'400;  // bytes: no fragments
+constexpr std::size_t kDatagramLimit = 1'400;  // bytes; larger datagrams may be fragmented
 
 class BalancerGossipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BalancerGossipTest);
@@ -55,7 +55,7 @@
   void SeedsAreAskedForFullListingsAtFirst() {
     m_gossip->SetSeeds({Node(1), Node(2), Node(3)});
     const std::vector<OutgoingGreeting> round = m_gossip->PeerRound(At(0));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, round.size());  // not itself
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, round.size());  // without this balancer
     for (const OutgoingGreeting& greeting : round) {
       CPPUNIT_ASSERT(greeting.greeting.wants_answer);
     }
@@ -88,14 +88,14 @@
     HearBalancers(600);
     HearAgents(3'000);
     CPPUNIT_ASSERT_EQUAL(small, BytesOf(m_gossip->PeerRound(At(0))));
-    CPPUNIT_ASSERT(small * 2 < 5'000);  // two rounds a second
+    CPPUNIT_ASSERT(small * 2 < 5'000);  // bytes in two rounds
   }
 
   void RoundsReachEveryPeerInTime() {
     constexpr std::uint32_t kBalancers = 40;
     HearBalancers(kBalancers);
     std::set<std::uint64_t> reached;
-    for (int round = 0; round < 120; ++round) {  // a minute
+    for (int round = 0; round < 120; ++round) {  // at least a minute of rounds
       for (const OutgoingGreeting& greeting : m_gossip->PeerRound(At(0))) {
         reached.insert(base::HashBytes(greeting.receiver.address, 0));
       }
@@ -147,7 +147,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{100}, balancers.size());
   }
 
-  // Hundreds of balancers start within a moment, and all know the same few by their settings.
+  // Hundreds of balancers may start at once and ask the same few seeds in their settings.
   void FullListingsAreRateLimited() {
     HearBalancers(300);
     HearAgents(700);
@@ -158,15 +158,15 @@
       bool is_new = false;
       const auto answers = m_gossip->OnGreeting(question, Node(number), At(0), is_new);
       CPPUNIT_ASSERT(!answers.empty());
-      CPPUNIT_ASSERT(!answers.front().greeting.balancers.empty());  // there are others to ask
+      CPPUNIT_ASSERT(!answers.front().greeting.balancers.empty());  // names others to ask
       datagrams += answers.size();
     }
-    CPPUNIT_ASSERT(datagrams < 400);  // 4,768 without a bound
+    CPPUNIT_ASSERT(datagrams < 400);  // 4,768 without the rate limit
     bool is_new = false;
     CPPUNIT_ASSERT(m_gossip->OnGreeting(question, Node(5), At(100), is_new).size() >= 700 / 50);
   }
 
-  // Each listing names the whole fleet, however large it is.
+  // Each full listing names the whole fleet, however large it is.
   void RequestsForFullListingsEndWhenNoNewNodeIsNamed() {
     HearBalancers(20);
     BalancerGreeting known;
@@ -212,7 +212,7 @@
     HearBalancers(99);
     HearAgents(1'000);
     const std::size_t greetings = m_gossip->AgentRound(At(0)).size();
-    CPPUNIT_ASSERT(greetings * 100 >= 2'000);  // of all balancers together
+    CPPUNIT_ASSERT(greetings * 100 >= 2'000);  // from 100 balancers together
     CPPUNIT_ASSERT(greetings * 100 <= 2'500);
   }
 
@@ -257,7 +257,7 @@
                    *m_gossip->PeerRound(At(1'500)).front().greeting.store_age);
   }
 
-  // The configuration that the peer knows may be the one that isn't in force here.
+  // The peer's contact confirmed a newer configuration, which is not in force on this balancer.
   void AContactAgeOfANewerVersionIsIgnored() {
     m_core->Tick(At(1'000));
     HearOfStore(1'000, 4, base::Duration(0));
@@ -266,7 +266,7 @@
 
   void ContactAgesReceivedAfterAPauseAreIgnored() {
     m_core->Tick(At(1'000));
-    HearOfStore(9'000, 0, base::Duration(0));  // woken after eight seconds, before any tick
+    HearOfStore(9'000, 0, base::Duration(0));  // after a pause of 8 s, before a tick
     CPPUNIT_ASSERT(!m_gossip->Reader().Age(At(9'000)));
     m_core->Tick(At(9'250));
     m_core->Tick(At(9'500));
@@ -309,7 +309,7 @@
     std::size_t bytes = 0;
     for (const OutgoingGreeting& greeting : greetings) {
       BalancerGreeting fixed = greeting.greeting;
-      fixed.agent_count = 0;  // its bytes grow with its digits
+      fixed.agent_count = 0;  // its encoded size depends on its value
       bytes += EncodeNodeMessage(fixed).size() + kPacketHeaders;
     }
     return bytes;
--- a/libs/placement/tests/dead_flow_queue_test.cpp
+++ b/libs/placement/tests/dead_flow_queue_test.cpp
@@ -1,4 +1,4 @@
-// Flows whose endpoint has gone: which are reset, and which never.
+// Tests which flows of a lost endpoint are reset, and which are not.
 #include "gaugevalve/placement/dead_flow_queue.h"
 
 #include <cppunit/TestFixture.h>
@@ -88,7 +88,7 @@
     FlowPacket closing = Data(Flow(1), 111, 0);
     closing.is_closing = true;
     Forward(closing);
-    Forward(Data(Flow(2), 101));  // the endpoint has said nothing on it
+    Forward(Data(Flow(2), 101));  // the endpoint has sent nothing on it
     m_now += seconds(2);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_agent->NoteEndpointGone(m_now));
   }
--- a/libs/placement/tests/evacuated_zones_test.cpp
+++ b/libs/placement/tests/evacuated_zones_test.cpp
@@ -1,4 +1,4 @@
-// Evacuated zones as a value, and what balancers, agents and gossip make of them.
+// Tests the value of evacuated zones and its use by balancers, agents and gossip.
 #include "gaugevalve/placement/evacuated_zones.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,7 +26,7 @@
 using testing::Report;
 using testing::Routes;
 
-constexpr std::int64_t kLearnedAtMs = 5000;  // ms; the balancer has learned of all agents
+constexpr std::int64_t kLearnedAtMs = 5000;  // time by which the balancer is no longer learning
 
 class EvacuatedZonesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuatedZonesTest);
@@ -126,7 +126,8 @@
     CPPUNIT_ASSERT(Send(Opening(Flow(2))).verdict == BalancerVerdict::kReset);
   }
 
-  // Their zones aren't known, and they may be as young as the balancer.
+  // The zones of agents that were only named are unknown, and such an agent may not know of the
+  // evacuation yet if it has just started as well.
   void AgentsNotHeardYetGetNoFlowDuringAnEvacuation() {
     m_now = At(100);
     m_core->OnReport(Node(9), Report(1, 0, EndpointStanding::kLeaving), m_now);
@@ -144,7 +145,7 @@
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
   }
 
-  // Also against a balancer that was away and insists.
+  // The agent also rejects openings with must_accept, from a balancer that missed the evacuation.
   void TheAgentRejectsFlowsOfItsEvacuatedZone() {
     AgentCore agent = MakeAgent();
     ForwardHeader header;
@@ -160,7 +161,7 @@
     CPPUNIT_ASSERT(Forward(agent, Opening(Flow(2)), header).verdict == AgentVerdict::kDeliver);
   }
 
-  // Agents outlive a loss of all balancers.
+  // Agents' reports restore the evacuated zones after the loss of all balancers.
   void AnAgentReportsEvacuatedZones() {
     AgentCore agent = MakeAgent();
     agent.ApplyEvacuatedZones({5, {"east"}}, m_now);
@@ -178,7 +179,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, CountTelling(gossip, news));
     CPPUNIT_ASSERT(m_core->Evacuated().Has("east"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, CountTelling(gossip, news));
-    news.evacuated = {7, {"east"}};  // nothing to pass on: the rounds tell the version
+    news.evacuated = {7, {"east"}};  // same zones: the new version spreads by rounds only
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, CountTelling(gossip, news));
   }
 
--- a/libs/placement/tests/flow_preference_test.cpp
+++ b/libs/placement/tests/flow_preference_test.cpp
@@ -1,4 +1,4 @@
-// Where a flow goes first, and so where it is found by those who know nothing of it.
+// Tests the preferred endpoints of flows, and how balancers without a record find flows there.
 #include "gaugevalve/placement/flow_preference.h"
 
 #include <cppunit/TestFixture.h>
@@ -111,7 +111,7 @@
     }
   }
 
-  // Others have come in their place since the flows were opened.
+  // A tenth of the agents was replaced by others after the flows were opened.
   void FlowsAreFoundAfterATenthOfTheAgentsChanged() {
     Restart(544);
     const std::vector<base::SocketAddress> holders = PlaceAll();
@@ -131,7 +131,8 @@
     CPPUNIT_ASSERT_EQUAL(still_there, found_first);
   }
 
-  // The first packets come while a balancer that has just started knows names only.
+  // The first packets arrive while a balancer that has just started has only been told the agents'
+  // addresses.
   void FlowsAreFoundBeforeAnyAgentWasHeard() {
     Restart(544);
     const std::vector<base::SocketAddress> holders = PlaceAll();
@@ -197,7 +198,7 @@
     return core;
   }
 
-  // A balancer that has just started and has heard all agents.
+  // Replaces the balancer with one that has just started and has heard all agents.
   void Restart(std::uint32_t agents) {
     m_core = MakeCore();
     for (std::uint32_t number = 0; number < agents; ++number) {
@@ -221,7 +222,7 @@
     return holders;
   }
 
-  // Returns how many agents a search asks until it comes to the holder.
+  // Returns how many agents a search asks up to and including the holder.
   std::size_t CountAgentsAskedUntil(const base::SocketAddress& holder, std::uint16_t port) {
     const FlowPacket packet = Data(Flow(port), 101);
     BalancerDecision decision = m_core->OnClientPacket(packet, m_now);
--- a/libs/placement/tests/flow_snapshot_test.cpp
+++ b/libs/placement/tests/flow_snapshot_test.cpp
@@ -1,4 +1,4 @@
-// Open flows that outlive a stop of everything: their bytes, and what is made of them.
+// Tests the snapshots of open flows and the recovery from them after all processes have stopped.
 #include "gaugevalve/placement/flow_snapshot.h"
 
 #include <cppunit/TestFixture.h>
@@ -128,7 +128,8 @@
     CPPUNIT_ASSERT(Reset().empty());
   }
 
-  // Endpoints that say when they started are believed at once, unless the word may be a late one.
+  // One announcement with a later start time confirms an incarnation. One without a start time or
+  // with an earlier one may be a delayed announcement of an older incarnation.
   void OneAnnouncementOfALaterStartIsEnough() {
     constexpr std::uint64_t kStart = 1'000'000;
     SavedFlow saved = Saved(1);
@@ -145,7 +146,7 @@
     }
     HearIncarnation({kFormerEndpoint, kStart});
     CPPUNIT_ASSERT(Reset().empty());
-    HearIncarnation({kFormerEndpoint, kStart + 2500});  // it kept its identifier
+    HearIncarnation({kFormerEndpoint, kStart + 2500});  // restarted with the same identifier
     CPPUNIT_ASSERT(Reset() == (std::vector<DeadFlow>{{Flow(1), 5000}}));
   }
 
@@ -181,7 +182,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Reset().size());
   }
 
-  // The fleet's calls are bounded, so that each balancer's turn comes later the more there are.
+  // The calls of all balancers together are bounded, so the period of each grows with their number.
   void SnapshotsAreNotWrittenInLargeDeployments() {
     CPPUNIT_ASSERT(seconds(5) == SnapshotSchedule::Period(seconds(5), 10));
     CPPUNIT_ASSERT(seconds(15) == SnapshotSchedule::Period(seconds(5), 60));
@@ -277,7 +278,7 @@
     m_core->OnReport(Node(1), report, m_now);
   }
 
-  // An announcement that no other has confirmed yet.
+  // Delivers a report with an announcement that no second one has confirmed yet.
   void HearIncarnation(const EndpointIncarnation& endpoint) {
     AgentReport report = Report(++m_sequence);
     report.announcement = 2;
--- a/libs/placement/tests/node_knowledge_test.cpp
+++ b/libs/placement/tests/node_knowledge_test.cpp
@@ -1,4 +1,4 @@
-// What nodes know of each other: agents, balancers, routes, and the messages about them.
+// Tests the directories of agents and balancers, route weights, and the encoding of messages.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "gaugevalve/placement/agent_directory.h"
@@ -206,7 +206,7 @@
     CPPUNIT_ASSERT(!list.Note(Node(3), base::Duration(0), At(10)));
     CPPUNIT_ASSERT(list.Targets(1, At(10)) == std::vector{Node(3)});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list.Targets(1, At(5000)).size());
-    CPPUNIT_ASSERT(!list.Note(Node(1), base::Duration(0), At(0)));  // never itself
+    CPPUNIT_ASSERT(!list.Note(Node(1), base::Duration(0), At(0)));  // never lists itself
   }
 
   void SilentBalancersAreForgotten() {
@@ -261,12 +261,12 @@
     header.has_route = true;
     const SearchRoute route{Node(1), {Node(2), Node(3)}};
     std::vector<std::uint8_t> bytes = EncodeSearch(header, route);
-    bytes.push_back(77);  // the packet
+    bytes.push_back(77);  // the packet's payload
     CPPUNIT_ASSERT(DecodeForwardHeader(bytes) == header);
     std::span<std::uint8_t> body = std::span(bytes).subspan(ForwardHeader::kSize);
     CPPUNIT_ASSERT(DecodeSearchRoute(body, kNodePort) == route);
     CPPUNIT_ASSERT(body.size() == 1 && body[0] == 77);
-    // Shorter than it says, in each way, and more agents than a route may have.
+    // Truncated at each length, and with more agents than a route may have.
     for (std::size_t size = 0; size < 13; ++size) {
       std::span<std::uint8_t> cut = std::span(bytes).subspan(ForwardHeader::kSize, size);
       CPPUNIT_ASSERT(!DecodeSearchRoute(cut, kNodePort).has_value());
--- a/libs/placement/tests/placement_fixture.h
+++ b/libs/placement/tests/placement_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of placement share: addresses, packets, reports.
+// Addresses, packets, reports and routes shared by the placement tests.
 #pragma once
 
 #include <string>
--- a/libs/placement/tests/report_schedule_test.cpp
+++ b/libs/placement/tests/report_schedule_test.cpp
@@ -41,7 +41,8 @@
 
   void TheFirstRoundIsDueAtOnce() { CPPUNIT_ASSERT(ReportSchedule().IsRoundDue(At(0))); }
 
-  // After a restart of all, balancers that started later have missed the first round.
+  // After a restart of all nodes, balancers that started later than the agent have missed its first
+  // round.
   void AnAgentsFirstRoundsAreShort() {
     ReportSchedule young;
     young.SetAgentCount(214);
@@ -61,7 +62,7 @@
   }
 
   void ReportsPerBalancerAreBounded() {
-    constexpr std::size_t kAgents = 3'800;  // the target of CONTRIBUTING
+    constexpr std::size_t kAgents = 3'800;  // the target fleet size in CONTRIBUTING
     const base::Duration period = ReportSchedule::RoundPeriod(660, kAgents);
     CPPUNIT_ASSERT(period >= milliseconds(80) * static_cast<int>(kAgents));
   }
@@ -74,7 +75,7 @@
     Round(84, 214, At(0));
     CPPUNIT_ASSERT(m_schedule.Period() > seconds(2));
     m_schedule.NoteUse(Node(1));
-    CPPUNIT_ASSERT(m_schedule.TakeUsers(At(100)).empty());  // the round has just told it
+    CPPUNIT_ASSERT(m_schedule.TakeUsers(At(100)).empty());  // the round has just reported to it
     const std::vector<base::SocketAddress> users = m_schedule.TakeUsers(At(200));
     CPPUNIT_ASSERT(users == std::vector<base::SocketAddress>{Node(1)});
   }
@@ -125,10 +126,11 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, m_schedule.TakeShare(At(0)).size());
   }
 
-  // A balancer that has just started hears one of them at once, not all after a whole period.
+  // A balancer that has just started hears some agents at once. With the same order at all agents
+  // it would hear all of them at one moment, up to a whole period later.
   void AgentsReportToBalancersInDifferentOrders() {
     constexpr std::uint64_t kAgentCount = 204;
-    std::set<std::int64_t> heard;  // in parts of a second
+    std::set<std::int64_t> heard;  // times in units of 500 ms
     for (std::uint64_t agent = 0; agent < kAgentCount; ++agent) {
       ReportSchedule schedule;
       schedule.SetAgentCount(kAgentCount);
@@ -142,7 +144,7 @@
         }
       }
     }
-    CPPUNIT_ASSERT(heard.size() > 25);  // of 33 in a period of 16.3 s
+    CPPUNIT_ASSERT(heard.size() > 25);  // of 33 units in a period of 16.3 s
   }
 
   void ReportingToAllAtOnceDoesNotEndASpreadRound() {
@@ -152,8 +154,8 @@
     CPPUNIT_ASSERT(!m_schedule.TakeShare(At(9'000)).empty());
   }
 
-  // A balancer takes an agent for gone after three of the periods that it was told. Those grow
-  // after an agent's first seconds, and when it learns how many agents there are.
+  // A balancer takes an agent for lost after three of the periods that the agent last reported.
+  // Periods grow after an agent's first seconds, and when it learns the number of agents.
   void ALongerPeriodIsReportedBeforeReportsAreMissed() {
     struct Told {
       base::TimePoint at{};
@@ -199,7 +201,7 @@
     return balancers;
   }
 
-  // Begins a round in which all have been told of its period.
+  // Begins a round in which all balancers have got its period.
   static void BeginRound(ReportSchedule& schedule, std::uint64_t salt, int time) {
     schedule.SetAgentCount(204);
     schedule.BeginRound(Balancers(), salt, At(time));
--- a/libs/placement/tests/store_reader_role_test.cpp
+++ b/libs/placement/tests/store_reader_role_test.cpp
@@ -39,7 +39,7 @@
     StoreReaderRole& role = MakeRoles(1).front();
     CPPUNIT_ASSERT(role.ShouldRead({}, At(0)));
     role.NoteContact(At(5));
-    CPPUNIT_ASSERT(!role.ShouldRead({}, At(10)));  // its peers are not known yet
+    CPPUNIT_ASSERT(!role.ShouldRead({}, At(10)));  // its peers are unknown
     CPPUNIT_ASSERT(role.ShouldRead({}, At(600)));
   }
 
@@ -57,13 +57,13 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, Reading(roles, 1'100));
   }
 
-  // All readers are gone, or cut off, or turned away.
+  // Covers the loss of all readers: they are stopped, partitioned or rejected by the store.
   void EveryBalancerReadsInTimeWithoutAContact() {
     for (const std::uint32_t balancers : {4U, 91U, 660U}) {
       std::vector<StoreReaderRole>& roles = MakeRoles(balancers);
       Hear(roles, 1'000);
       CPPUNIT_ASSERT(Reading(roles, 1'000 + 3'000) <= StoreReaderRole::kReaders);
-      const int latest = 1'000 + 5'200;  // 60 % and 25 % of the limit
+      const int latest = 1'000 + 5'200;  // 60% and 25% of the limit
       for (int time = 1'000; time < latest; time += 50) {
         Reading(roles, time);
       }
@@ -119,7 +119,7 @@
         }
       }
     }
-    CPPUNIT_ASSERT(calls < 30 * 30);  // 30 a second
+    CPPUNIT_ASSERT(calls < 30 * 30);  // at most 30 calls a second for 30 s
     CPPUNIT_ASSERT(calls > 30 * 5);
   }
 
@@ -129,14 +129,15 @@
     role.NoteContact(At(1'000));
     CPPUNIT_ASSERT(role.TakeContactUpdate());
     CPPUNIT_ASSERT(!role.TakeContactUpdate());
-    role.NotePeer(milliseconds(0), At(1'200));  // hardly newer
+    role.NotePeer(milliseconds(0), At(1'200));  // not newer by kContactUpdatePercent
     CPPUNIT_ASSERT(!role.TakeContactUpdate());
     role.NotePeer(milliseconds(100), At(2'900));
     CPPUNIT_ASSERT(role.TakeContactUpdate());
     CPPUNIT_ASSERT(milliseconds(400) == *role.Age(At(3'000)));
   }
 
-  // Greetings that wait for a tenth of a second at each balancer they come through.
+  // Each greeting waits for 100 ms at its receiver. Without kHopAllowance the age of a contact that
+  // two balancers send back and forth would never grow.
   void AContactAgeGrowsWhileItCirculates() {
     std::vector<StoreReaderRole>& roles = MakeRoles(2);
     roles[0].NoteContact(At(0));
@@ -187,7 +188,7 @@
     }
   }
 
-  // How many are to call the store.
+  // Returns the number of balancers that are to call the store.
   std::size_t Reading(std::vector<StoreReaderRole>& roles, int time) {
     std::size_t reading = 0;
     for (std::size_t index = 0; index < roles.size(); ++index) {
--- a/proofs/placement/src/placement_proof.cpp
+++ b/proofs/placement/src/placement_proof.cpp
@@ -1,6 +1,7 @@
-// Stateful fuzzing of balancers and agents that place flows by load: open flows are never reset and
-// always found, endpoints that have left get no new flow, and none reaches another service,
-// whatever is restarted. Each protection is also taken away in turn; the rules must then break.
+// Stateful fuzzing of balancers and agents that place flows by load. Invariants under restarts,
+// pauses and losses: open flows are never reset and always found, drained endpoints get no new
+// flows, and no flow reaches another service. Each mutant disables one protection and must violate
+// an invariant.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -54,7 +55,7 @@
 
 using PlacementCommand = rc::state::Command<Model, PlacementSimulation>;
 
-// One step of the clients or the adversary.
+// One step of a client, of time, or of fault injection.
 class Perform final : public PlacementCommand {
  public:
   Perform()
--- a/proofs/placement/src/placement_simulation.cpp
+++ b/proofs/placement/src/placement_simulation.cpp
@@ -83,7 +83,7 @@
   agents_[index].core = std::make_unique<placement::AgentCore>(settings);
 }
 
-// Every second start keeps the identifier of the life before it.
+// Every second incarnation keeps the identifier of the one before it.
 placement::EndpointIncarnation PlacementSimulation::IncarnationOf(const Endpoint& endpoint) {
   return {std::to_string(endpoint.incarnation / 2), endpoint.incarnation};
 }
@@ -97,7 +97,8 @@
   agent.core->Gate().Announce(announcement, now_);
 }
 
-// Agents report to all balancers, which tell a restarted agent what they remember.
+// Sends reports from all agents to all balancers, which return a restarted agent's last known
+// endpoint state to it.
 void PlacementSimulation::Report() {
   for (std::size_t index = 0; index < kAgents; ++index) {
     Agent& agent = agents_[index];
@@ -245,7 +246,8 @@
   } else if (decision.verdict == AgentVerdict::kPassOn) {
     PassOn(datagram.packet, decision);
   } else if (decision.verdict == AgentVerdict::kDeliver) {
-    // The way from an agent to the endpoint beside it keeps the order; it may still be late.
+    // The path from an agent to its endpoint may delay packets but keeps their order, so it is
+    // simulated without a queue.
     HandleAtEndpoint({Hop::kToEndpoint,
                       datagram.node,
                       0,
@@ -392,7 +394,8 @@
   }
 }
 
-// Another endpoint at the same address, perhaps of the other service; its flows are gone.
+// Replaces a drained endpoint with a new one at the same address, possibly of the other service.
+// The flows of the old one are lost.
 void PlacementSimulation::Replace(std::uint32_t choice) {
   Agent& agent = agents_[choice % kAgents];
   if (!agent.endpoint.left_at) {
@@ -410,7 +413,7 @@
   Announce(agent);
 }
 
-// An announcement that was sent before the newest one comes only now.
+// Delivers a delayed announcement, which the endpoint sent before its newest one.
 void PlacementSimulation::AnnounceLate(std::uint32_t choice) {
   Agent& agent = agents_[choice % kAgents];
   if (agent.endpoint.announcement < 2) {
@@ -420,7 +423,7 @@
   announcement.incarnation = IncarnationOf(agent.endpoint);
   announcement.capacity = kCapacity;
   announcement.sequence = agent.endpoint.announcement - 1;
-  // What was sent as draining isn't sent as ready.
+  // The delayed announcement says draining if it was sent after the drain began.
   announcement.is_draining =
       agent.endpoint.left_at.has_value() && now_ - *agent.endpoint.left_at > kAnnouncementPeriod;
   agent.core->Gate().Announce(announcement, now_);
@@ -439,7 +442,7 @@
   return flows_.at(packet.flow.client.port - 1000U);
 }
 
-// A client with an open flow takes a reset only near what it has acknowledged.
+// A client with an open flow accepts a reset only near its last acknowledgement number.
 void PlacementSimulation::TakeReset(const FlowPacket& packet, std::uint32_t sequence) {
   Flow& flow = FlowOf(packet);
   const auto distance = static_cast<std::int32_t>(sequence - flow.endpoint_sequence);
--- a/proofs/placement/src/placement_simulation.h
+++ b/proofs/placement/src/placement_simulation.h
@@ -1,4 +1,4 @@
-// A small deployment in simulated time: clients, balancers, agents, endpoints, and an adversary.
+// Simulation of a small deployment: clients, balancers, agents and endpoints, with injected faults.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,17 @@
 
 namespace gaugevalve::proofs {
 
-// The protections of the cores, each of which a mutant takes away.
+// Protections of the cores. Each mutant disables one of them.
 struct PlacementSimulationSettings {
   base::Duration learning_time = std::chrono::milliseconds(700);
-  base::Duration memory_limit = std::chrono::seconds(3);  // of a left endpoint, at its agent
+  base::Duration memory_limit = std::chrono::seconds(3);  // of an agent for a drained endpoint
   bool checks_service = true;
   bool returns_bounced = true;
-  bool notices_pauses = true;  // of a balancer
+  bool notices_pauses = true;  // balancers notice their own pauses
 };
 
-// Steps run whole; datagrams wait in a network that the adversary empties in any order.
+// Each step runs atomically. Datagrams wait in a simulated network, and steps of the proof deliver
+// or drop them in any order.
 class PlacementSimulation {
  public:
   static constexpr std::size_t kBalancers = 2;
@@ -39,16 +40,17 @@
   void Deliver(std::uint32_t choice);
   void DropDatagram(std::uint32_t choice);
   void Advance();
-  void AdvanceOneSecond();  // a second
+  void AdvanceOneSecond();
   void RestartBalancer(std::uint32_t choice);
   void RestartAgent(std::uint32_t choice);
   void RestartAll();
-  void PauseBalancer(std::uint32_t choice);  // for longer than agents may be silent
+  void PauseBalancer(std::uint32_t choice);  // for longer than the silence limit
   void Leave(std::uint32_t choice);
   void Replace(std::uint32_t choice);
   void AnnounceLate(std::uint32_t choice);
 
-  // Ends the faults and lets everybody learn; then each open flow's data must arrive.
+  // Ends all faults, waits until all nodes have learned, and checks that each balancer delivers a
+  // packet of each open flow to its endpoint.
   void EndFaultsAndSettle();
 
   const std::optional<std::string>& Violation() const { return violation_; }
@@ -60,7 +62,7 @@
  private:
   struct Flow {
     placement::FlowKey key;
-    std::uint32_t endpoint_sequence = 0;  // of the opening answer that the client took; 0: none
+    std::uint32_t endpoint_sequence = 0;  // of the first SYN-ACK; 0 for none yet
     std::uint32_t next_byte = 101;
     bool is_reset = false;
   };
@@ -68,10 +70,10 @@
   struct Endpoint {
     std::uint32_t incarnation = 0;
     base::ServiceId service;
-    std::map<std::uint16_t, std::uint32_t> half_open;  // client's port -> own sequence
+    std::map<std::uint16_t, std::uint32_t> half_open;  // client port -> own sequence number
     std::set<std::uint16_t> open;
-    std::optional<base::TimePoint> left_at;  // acknowledged
-    bool is_deregistered = false;  // it left without draining, and announces nothing any more
+    std::optional<base::TimePoint> left_at;  // start of draining
+    bool is_deregistered = false;            // left without draining; sends no announcements
     std::uint64_t announcement = 0;
     std::uint64_t arrived = 0;
   };
@@ -125,14 +127,14 @@
   std::vector<Agent> agents_;
   std::vector<Flow> flows_;
   std::vector<Datagram> network_;
-  std::optional<std::size_t> paused_;  // a balancer that hears nothing
+  std::optional<std::size_t> paused_;  // balancer that receives no reports
   std::uint32_t next_sequence_ = 1'000'000;
   std::uint64_t next_life_ = 1;
   std::optional<std::string> violation_;
   std::size_t flows_opened_ = 0;
   std::size_t searches_ended_ = 0;
   std::size_t resets_ = 0;
-  std::size_t passes_ = 0;  // of searches, from agent to agent
+  std::size_t passes_ = 0;  // forwards of searches between agents
 };
 
 }  // namespace gaugevalve::proofs
--- a/proofs/placement/src/reader_proof.cpp
+++ b/proofs/placement/src/reader_proof.cpp
@@ -1,6 +1,6 @@
-// Stateful fuzzing of the balancers' few readers of the store: whoever runs and is served by the
-// store has each configuration within the limit, whatever happens to the readers. Each protection
-// is also taken away in turn; the rule must then break.
+// Stateful fuzzing of the few balancers that read the store. Invariant under restarts, pauses,
+// rejections and broken links: each balancer that runs and is served by the store has each
+// configuration within the limit. Each mutant disables one protection and must violate it.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
--- a/proofs/placement/src/reader_simulation.cpp
+++ b/proofs/placement/src/reader_simulation.cpp
@@ -122,7 +122,7 @@
 
 void ReaderSimulation::EndCall(std::size_t index) {
   Balancer& balancer = balancers_[index];
-  // A store that turns the machine away cuts its watch, or lets it hang.
+  // A store that rejects the balancer also ends its current watch, or lets it hang.
   balancer.call_fails = balancer.call_fails || balancer.is_rejected;
   const std::uint64_t newest = changes_.size();
   const bool has_news = !balancer.call_fails && balancer.watched > 0 && newest > balancer.watched;
--- a/proofs/placement/src/reader_simulation.h
+++ b/proofs/placement/src/reader_simulation.h
@@ -1,4 +1,4 @@
-// Balancers that leave the store to a few of them, in simulated time, and an adversary.
+// Simulation of balancers of which a few read the store, with injected faults.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,15 @@
 
 namespace gaugevalve::proofs {
 
-// What a mutant takes away.
+// Protections of the cores. Each mutant disables one of them.
 struct ReaderSimulationSettings {
-  base::Duration change_limit = std::chrono::seconds(6);  // that the balancers believe in
-  bool detects_failed_calls = true;  // a call that fails says nothing of the newest configuration
+  base::Duration change_limit = std::chrono::seconds(6);  // as configured on balancers
+  bool detects_failed_calls = true;  // a failed call is not a contact with the store
 };
 
-// One step is a tenth of a second. A balancer has to have each version within kLimit of its change,
-// if all that time it ran and the store served it. The store may turn any of them away, silently or
-// not; cuts between balancers are one-way.
+// One step is 100 ms. Each balancer that runs and is served by the store has to have each version
+// within kLimit of its change. The store may reject any balancer, with or without an answer. Broken
+// links between balancers are one-way.
 class ReaderSimulation {
  public:
   static constexpr std::size_t kBalancers = 9;
@@ -32,16 +32,15 @@
   explicit ReaderSimulation(const ReaderSimulationSettings& settings);
 
   void Advance();
-  void AdvanceOneSecond();  // a second
+  void AdvanceOneSecond();
   void Change();
   void Restart(std::uint32_t choice);
-  void Pause(std::uint32_t choice);  // ends after two seconds
+  void Pause(std::uint32_t choice);  // for two seconds
   void PauseReaders();
-  void ToggleStoreRejection(std::uint32_t choice);  // until the next call for the same one
+  void ToggleStoreRejection(std::uint32_t choice);  // for one balancer
   void RejectReadersAtStore();
-  void ToggleLink(
-      std::uint32_t choice);  // from one to another; until the next call for the same two
-  void EndFaultsAndSettle();  // ends all faults
+  void ToggleLink(std::uint32_t choice);  // breaks or restores one direction
+  void EndFaultsAndSettle();              // ends all faults and waits 8 s
 
   const std::optional<std::string>& Violation() const { return violation_; }
   std::size_t ChangesSeen() const { return changes_seen_; }
@@ -59,12 +58,12 @@
     std::deque<Message> inbox;
     std::optional<base::TimePoint> paused_until;
     base::TimePoint next_round{};
-    base::TimePoint healthy_since{};           // running, and served by the store
-    std::optional<base::TimePoint> call_ends;  // of the call under way
+    base::TimePoint healthy_since{};           // running and served by the store
+    std::optional<base::TimePoint> call_ends;  // of the current call
     bool is_rejected = false;
-    bool is_silent = false;  // turned away without an answer
+    bool is_silent = false;  // rejected without an answer
     bool call_fails = false;
-    std::uint64_t watched = 0;  // version that the watch under way began with; 0 for a read
+    std::uint64_t watched = 0;  // version at the start of the current watch; 0 for a read
   };
 
   void Start(std::size_t index);
@@ -84,7 +83,7 @@
   base::TimePoint now_{std::chrono::seconds(100)};
   std::vector<Balancer> balancers_;
   std::vector<bool> broken_links_ = std::vector<bool>(kBalancers * kBalancers);
-  std::vector<base::TimePoint> changes_;  // of version 1 on
+  std::vector<base::TimePoint> changes_;  // times of version 1 and later ones
   std::optional<std::string> violation_;
   std::size_t changes_seen_ = 0;
   std::size_t calls_ = 0;
