--- a/daemons/agent/src/admitted_request.cpp
+++ b/daemons/agent/src/admitted_request.cpp
@@ -216,10 +216,10 @@
   exchange_.reset();
   writer_.Finish();
   is_decided_ = true;
-  owner_.OnEnded(
-      id_,
-      is_refused_by_endpoint_ ? requests::EndpointEnd::kRefused : requests::EndpointEnd::kAnswered,
-      stored_answer_);
+  owner_.OnEnded(id_,
+                 is_refused_by_endpoint_ ? requests::EndpointResult::kRefused
+                                         : requests::EndpointResult::kAnswered,
+                 stored_answer_);
 }
 
 void AdmittedRequest::OnExchangeFailed(const ExchangeFailure& failure) {
@@ -233,9 +233,10 @@
     is_decided_ = true;
     writer_.Reset(quic::Http3Error::kInternalError);
   }
-  requests::EndpointEnd end = requests::EndpointEnd::kFailed;
+  requests::EndpointResult end = requests::EndpointResult::kFailed;
   if (failure.kind == ExchangeFailure::Kind::kNotSent) {
-    end = has_streamed_body_ ? requests::EndpointEnd::kBodyGone : requests::EndpointEnd::kNotSent;
+    end = has_streamed_body_ ? requests::EndpointResult::kBodyNotReplayable
+                             : requests::EndpointResult::kNotSent;
   }
   owner_.OnEnded(id_, end, {});
 }
--- a/daemons/agent/src/admitted_request.h
+++ b/daemons/agent/src/admitted_request.h
@@ -39,7 +39,7 @@
   virtual void OnBecameStream(requests::RequestId id) = 0;
 
   // The exchange with the endpoint ended.
-  virtual void OnEnded(requests::RequestId id, requests::EndpointEnd end,
+  virtual void OnEnded(requests::RequestId id, requests::EndpointResult end,
                        const requests::StoredAnswer& answer) = 0;
 
   // The caller gave it up, or its connection is gone.
--- a/daemons/agent/src/hand_over_service.cpp
+++ b/daemons/agent/src/hand_over_service.cpp
@@ -139,7 +139,7 @@
   PerformAndHandle(core_.OnMessage(sender, message, clock_.Now()));
 }
 
-void HandOverService::OnTimer(const requests::OwnLoad& load) {
+void HandOverService::OnTimer(const requests::LocalLoad& load) {
   PerformAndHandle(core_.OnTimer(load, clock_.Now()));
 }
 
@@ -214,11 +214,11 @@
     return;  // cancelled meanwhile
   }
   EndpointEvents& events = *found->second;
-  if (std::holds_alternative<requests::BodyWanted>(event.what)) {
+  if (std::holds_alternative<requests::BodyWritable>(event.what)) {
     events.OnRequestWritable();
-  } else if (const auto* const head = std::get_if<requests::AnswerHeadCame>(&event.what)) {
+  } else if (const auto* const head = std::get_if<requests::AnswerHeadReceived>(&event.what)) {
     events.OnAnswerHead({static_cast<int>(head->head.status()), DecodeFields(head->head.fields())});
-  } else if (const auto* const bytes = std::get_if<requests::AnswerBytesCame>(&event.what)) {
+  } else if (const auto* const bytes = std::get_if<requests::AnswerBytesReceived>(&event.what)) {
     events.OnAnswerBody(AsBytes(bytes->bytes));
   } else if (const auto* const refused = std::get_if<requests::HandOverRefused>(&event.what)) {
     left_.erase(found);
@@ -246,11 +246,11 @@
     return;
   }
   RunForPeer& run = *found->second;
-  if (const auto* const bytes = std::get_if<requests::BodyBytesCame>(&event.what)) {
+  if (const auto* const bytes = std::get_if<requests::BodyBytesReceived>(&event.what)) {
     run.TakeBody(AsBytes(bytes->bytes));
   } else if (std::holds_alternative<requests::BodyEnded>(event.what)) {
     run.TakeBodyEnd();
-  } else if (std::holds_alternative<requests::AnswerWanted>(event.what)) {
+  } else if (std::holds_alternative<requests::AnswerWritable>(event.what)) {
     run.TakeRoom();
   } else {
     run.TakeCancel();
--- a/daemons/agent/src/hand_over_service.h
+++ b/daemons/agent/src/hand_over_service.h
@@ -54,13 +54,14 @@
   bool Offer(AdmittedRequest& request, requests::HandOverNeed need, base::TimePoint deadline);
 
   // Returns why a request should run elsewhere, or nothing.
-  std::optional<requests::HandOverNeed> NeedOf(const requests::LocalSituation& situation) const {
-    return requests::NeedOf(situation, limits_);
+  std::optional<requests::HandOverNeed> FindHandOverNeed(
+      const requests::LocalSituation& situation) const {
+    return requests::FindHandOverNeed(situation, limits_);
   }
 
   void SetTable(const std::shared_ptr<const routing::BucketTable>& table);
   void OnMessage(base::NodeId sender, const requests::proto::HandOverMessage& message);
-  void OnTimer(const requests::OwnLoad& load);
+  void OnTimer(const requests::LocalLoad& load);
   void PublishCounters();
 
   // For the exchanges of requests that left.
--- a/daemons/agent/src/http3_service.cpp
+++ b/daemons/agent/src/http3_service.cpp
@@ -116,7 +116,7 @@
     return;
   }
   const connection_id::ConnectionId& id = packet->destination;
-  if (const auto reason = ownership_.Settle(header, base::HashBytes(id.bytes()))) {
+  if (const auto reason = ownership_.ReconcileEntry(header, base::HashBytes(id.bytes()))) {
     dropped_.Add(*reason);
     return;
   }
@@ -187,17 +187,17 @@
 
 void Http3Service::HandleFirst(const wire::ProxyDatagram& datagram, wire::ForwardingHeader& header,
                                base::TimePoint now) {
-  const flow::Ruling ruling = ownership_.Rule(header, std::nullopt, now);
-  switch (ruling.verdict) {
+  const flow::OwnershipDecision decision = ownership_.Decide(header, std::nullopt, now);
+  switch (decision.verdict) {
     case flow::Verdict::kOpen:
     case flow::Verdict::kServe:
       Serve(datagram, now);
       break;
     case flow::Verdict::kPassOn:
-      output_->PassOn(ruling.next_hop, datagram, header);
+      output_->PassOn(decision.next_hop, datagram, header);
       break;
     case flow::Verdict::kDrop:
-      dropped_.Add(ruling.reason);
+      dropped_.Add(decision.reason);
       break;
   }
 }
--- a/daemons/agent/src/request_service.cpp
+++ b/daemons/agent/src/request_service.cpp
@@ -135,7 +135,7 @@
   const quic::HeaderFields& fields = request.Head().fields;
   const std::string_view timeout_text = quic::FindField(fields, requests::kTimeoutHeader);
   const std::string_view key = quic::FindField(fields, requests::kIdempotencyKeyHeader);
-  requests::ArrivedRequest arrived;
+  requests::IncomingRequest arrived;
   arrived.id = request.Id();
   arrived.is_stream = request.IsStream();
   arrived.timeout = requests::ParseTimeout(timeout_text);
@@ -164,7 +164,7 @@
     return;
   }
   known_[request.Id()] = {&request, deadline};
-  Perform(pipeline_.Arrive(arrived, now));
+  Perform(pipeline_.AddRequest(arrived, now));
 }
 
 // Lets another agent's endpoint run the request, when there is need and a peer that will.
@@ -176,7 +176,7 @@
   situation.is_draining = IsDraining();
   situation.is_endpoint_down = now < endpoint_down_until_;
   situation.estimated_wait = pipeline_.Admission().EstimatedWait();
-  const auto need = is_hand_over_on_ ? hand_over_.NeedOf(situation) : std::nullopt;
+  const auto need = is_hand_over_on_ ? hand_over_.FindHandOverNeed(situation) : std::nullopt;
   if (!need || !hand_over_.Offer(request, *need, deadline)) {
     return false;
   }
@@ -186,9 +186,9 @@
 
 // No byte left this agent: any peer may run it. A keyed request stays, since its grant is for this
 // agent; its end is told here.
-bool RequestService::HandOverUnsent(requests::RequestId id, requests::EndpointEnd end) {
+bool RequestService::HandOverUnsent(requests::RequestId id, requests::EndpointResult end) {
   const auto found = known_.find(id);
-  if (end != requests::EndpointEnd::kNotSent || found == known_.end()) {
+  if (end != requests::EndpointResult::kNotSent || found == known_.end()) {
     return false;
   }
   const Known known = found->second;
@@ -206,17 +206,17 @@
   }
 }
 
-void RequestService::NoteEndpoint(requests::EndpointEnd end, base::TimePoint now) {
-  const bool is_unreached =
-      end == requests::EndpointEnd::kNotSent || end == requests::EndpointEnd::kBodyGone;
+void RequestService::NoteEndpoint(requests::EndpointResult end, base::TimePoint now) {
+  const bool is_unreached = end == requests::EndpointResult::kNotSent ||
+                            end == requests::EndpointResult::kBodyNotReplayable;
   endpoint_down_until_ = is_unreached ? now + kEndpointDownTime : now;
 }
 
-requests::OwnLoad RequestService::Load(base::TimePoint now) const {
+requests::LocalLoad RequestService::Load(base::TimePoint now) const {
   const requests::AdmissionQueue& admission = pipeline_.Admission();
   const auto running = static_cast<std::uint32_t>(admission.RunningCount());
   const auto waiting = static_cast<std::uint32_t>(admission.WaitingCount());
-  requests::OwnLoad load;
+  requests::LocalLoad load;
   load.free_slots = limits_.slots - std::min(limits_.slots, running);
   load.queue_room = limits_.queue_length - std::min(limits_.queue_length, waiting);
   load.takes_requests = is_hand_over_on_ && !IsDraining() && now >= endpoint_down_until_;
@@ -267,7 +267,7 @@
   pipeline_.SetDraining(is_draining_ || (is_endpoint_draining_ && is_hand_over_on_));
 }
 
-void RequestService::OnEnded(requests::RequestId id, requests::EndpointEnd end,
+void RequestService::OnEnded(requests::RequestId id, requests::EndpointResult end,
                              const requests::StoredAnswer& answer) {
   const auto found = known_.find(id);
   const bool is_away = found != known_.end() && found->second.is_away;
@@ -279,14 +279,15 @@
     }
   }
   const bool is_whole =
-      end == requests::EndpointEnd::kAnswered || end == requests::EndpointEnd::kRefused;
+      end == requests::EndpointResult::kAnswered || end == requests::EndpointResult::kRefused;
   if (is_whole) {
-    ended_.Add(end == requests::EndpointEnd::kAnswered ? EndCount::kAnswered : EndCount::kNotRun);
+    ended_.Add(end == requests::EndpointResult::kAnswered ? EndCount::kAnswered
+                                                          : EndCount::kNotRun);
   } else if (!is_away) {
     ++failures_since_report_;
   }
-  Perform(pipeline_.EndAtEndpoint(id, end, answer, clock_.Now()));
-  const bool was_cut = !pipeline_.Knows(id) && Forget(id) != nullptr && !is_whole;
+  Perform(pipeline_.FinishAtEndpoint(id, end, answer, clock_.Now()));
+  const bool was_cut = !pipeline_.Contains(id) && Forget(id) != nullptr && !is_whole;
   if (was_cut) {
     ended_.Add(EndCount::kCut);
   }
@@ -346,7 +347,7 @@
     return std::unique_ptr<Exchange>(client_.Start(head, events));
   };
   if (!request.Start(starter, time_left)) {
-    OnEnded(id, requests::EndpointEnd::kNotSent, {});
+    OnEnded(id, requests::EndpointResult::kNotSent, {});
   }
 }
 
--- a/daemons/agent/src/request_service.h
+++ b/daemons/agent/src/request_service.h
@@ -70,19 +70,19 @@
   requests::RequestId NextRequestId() override { return requests::RequestId(next_id_++); }
   void OnRefusedElsewhere(requests::RequestId id, const requests::Refusal& refusal) override;
   void OnArrived(AdmittedRequest& request) override;
-  void OnAnswerBegan(requests::RequestId id) override { pipeline_.AnswerBegan(id); }
+  void OnAnswerBegan(requests::RequestId id) override { pipeline_.MarkAnswerBegun(id); }
   void OnBecameStream(requests::RequestId id) override {
-    Perform(pipeline_.BecameStream(id, clock_.Now()));
+    Perform(pipeline_.MarkAsStream(id, clock_.Now()));
   }
-  void OnEnded(requests::RequestId id, requests::EndpointEnd end,
+  void OnEnded(requests::RequestId id, requests::EndpointResult end,
                const requests::StoredAnswer& answer) override;
   void OnCancelled(requests::RequestId id) override;
 
   bool HandOver(AdmittedRequest& request, base::TimePoint deadline, base::TimePoint now);
-  bool HandOverUnsent(requests::RequestId id, requests::EndpointEnd end);
+  bool HandOverUnsent(requests::RequestId id, requests::EndpointResult end);
   bool IsDraining() const { return is_draining_ || is_endpoint_draining_; }
-  requests::OwnLoad Load(base::TimePoint now) const;
-  void NoteEndpoint(requests::EndpointEnd end, base::TimePoint now);
+  requests::LocalLoad Load(base::TimePoint now) const;
+  void NoteEndpoint(requests::EndpointResult end, base::TimePoint now);
   void UpdateDraining();
   void OnTimer();
   void LogStalledAnswers(base::TimePoint now);
--- a/daemons/agent/src/run_for_peer.cpp
+++ b/daemons/agent/src/run_for_peer.cpp
@@ -76,7 +76,7 @@
 void RunForPeer::Reset(quic::Http3Error /*error*/) {
   is_over_ = true;
   requests::HandOverActions actions;
-  service_.Executor().CutAnswer(id_, service_.Now(), actions);
+  service_.Executor().AbortAnswer(id_, service_.Now(), actions);
   service_.Perform(actions);
   service_.OnRunOver(id_);
 }
--- a/examples/routing/main.cpp
+++ b/examples/routing/main.cpp
@@ -14,11 +14,11 @@
 
 using namespace gaugevalve;  // NOLINT(google-build-using-namespace): an example for other projects
 
-routing::AgentStatus MakeAgent(const std::string& name, routing::AgentStanding standing) {
+routing::AgentStatus MakeAgent(const std::string& name, routing::AgentLiveness liveness) {
   routing::AgentStatus status;
   status.entry.node = base::MakeNodeId(name);
   status.entry.incarnation = base::Incarnation(1);
-  status.standing = standing;
+  status.liveness = liveness;
   return status;
 }
 
@@ -35,10 +35,10 @@
   routing::BucketTable follower = planner.Table();  // no owner yet
 
   base::TimePoint now{};
-  for (const auto standing : {routing::AgentStanding::kLive, routing::AgentStanding::kLeaving}) {
+  for (const auto liveness : {routing::AgentLiveness::kLive, routing::AgentLiveness::kLeaving}) {
     planner.SetAgents(
-        {MakeAgent("east-1", standing), MakeAgent("west-1", routing::AgentStanding::kLive),
-         MakeAgent("north-1", routing::AgentStanding::kLive)},
+        {MakeAgent("east-1", liveness), MakeAgent("west-1", routing::AgentLiveness::kLive),
+         MakeAgent("north-1", routing::AgentLiveness::kLive)},
         now);
     now += std::chrono::seconds(1);
     const std::optional<routing::TableDelta> delta = planner.Step(now);
--- a/libs/control/include/gaugevalve/control/agent_reporter.h
+++ b/libs/control/include/gaugevalve/control/agent_reporter.h
@@ -9,7 +9,7 @@
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/control/control_message.h"
 #include "gaugevalve/routing/agent_report.h"
-#include "gaugevalve/routing/flow_digest.h"
+#include "gaugevalve/routing/flow_count_encoder.h"
 
 namespace gaugevalve::control {
 
@@ -39,12 +39,12 @@
   base::TimePoint NextDeadline() const;
 
   // Takes the planner's answer. Once the agent's table is as new as the planner's was then, the
-  // time at which the report was sent is proven fresh: at once, or by NoteTable() later.
-  void TakeAnswer(const ReportAnswer& answer, const routing::TableVersion& own_table);
+  // time at which the report was sent is proven fresh: at once, or by OnTableChanged() later.
+  void HandleAnswer(const ReportAnswer& answer, const routing::TableVersion& own_table);
 
   // Notes which table the agent has now. An answer may overtake the table that it names, and while
   // the planner changes the table with each report there is always a newer one on its way.
-  void NoteTable(const routing::TableVersion& own_table);
+  void OnTableChanged(const routing::TableVersion& own_table);
 
   // Returns the latest time at which the agent's table was the planner's newest.
   base::TimePoint ConfirmedAt() const { return confirmed_at_; }
@@ -68,7 +68,7 @@
   base::TimePoint reported_at_{};
   std::uint64_t next_sequence_ = 1;
   base::NodeId planner_;
-  routing::FlowDigest digest_;
+  routing::FlowCountEncoder digest_;
   bool whole_is_wanted_ = false;                       // by the planner, at the next fast interval
   std::array<SentReport, kRememberedReports> sent_{};  // a ring
   base::TimePoint confirmed_at_{};
--- a/libs/control/include/gaugevalve/control/control_message.h
+++ b/libs/control/include/gaugevalve/control/control_message.h
@@ -7,7 +7,7 @@
 #include <variant>
 
 #include "gaugevalve/routing/agent_report.h"
-#include "gaugevalve/routing/flow_digest.h"
+#include "gaugevalve/routing/flow_count_encoder.h"
 
 namespace gaugevalve::control {
 
@@ -21,7 +21,7 @@
 struct ReportAnswer {
   std::uint64_t sequence = 0;
   routing::TableVersion table_version;
-  routing::FlowsOutcome flows = routing::FlowsOutcome::kTaken;
+  routing::FlowCountsOutcome flows = routing::FlowCountsOutcome::kAccepted;
 };
 
 // std::monostate stands for bytes that can't be read.
--- a/libs/control/include/gaugevalve/control/planner_host.h
+++ b/libs/control/include/gaugevalve/control/planner_host.h
@@ -52,7 +52,7 @@
 };
 
 // Returns what an answer says of the flows in a report with this outcome.
-routing::FlowsOutcome FlowsOutcomeOf(routing::ReportOutcome outcome);
+routing::FlowCountsOutcome FlowCountsOutcomeOf(routing::ReportOutcome outcome);
 
 // Decision core. Planners start and stop by themselves as the roster, the members and the settings
 // change; bounded by the number of services. Not thread-safe.
@@ -69,7 +69,7 @@
 
   // Tells the planner of a service that this life of an agent said farewell: its buckets needn't
   // wait. Call before the UpdateAgents() that leaves it out.
-  void NoteFarewell(base::ServiceId service, base::NodeId agent, base::Incarnation life);
+  void NoteGracefulLeave(base::ServiceId service, base::NodeId agent, base::Incarnation life);
 
   // Notes that an agent was declared dead, for planners that start soon after. Call before the
   // UpdateAgents() that leaves it out.
@@ -82,7 +82,7 @@
 
   // Takes a report; returns the answer if this node plans the service and the report is one of an
   // agent that it knows to be alive. An answer lets the agent open flows for a while.
-  std::optional<ReportAnswer> TakeReport(const NumberedReport& report, base::TimePoint now);
+  std::optional<ReportAnswer> HandleReport(const NumberedReport& report, base::TimePoint now);
 
   // Runs the planners that are due; returns the tables that changed.
   std::vector<routing::BucketTable> Tick(const PlanningContext& context, base::TimePoint now);
--- a/libs/control/src/agent_reporter.cpp
+++ b/libs/control/src/agent_reporter.cpp
@@ -20,7 +20,7 @@
   sent_[sequence % sent_.size()] = {sequence, now, std::nullopt};
   NumberedReport numbered{sequence, *reported_};
   numbered.report.sequence = sequence;
-  digest_.Shorten(numbered.report);
+  digest_.EncodeChanges(numbered.report);
   return numbered;
 }
 
@@ -51,19 +51,20 @@
   return other_state || whole_is_wanted_ || change > options_.much_changed_share;
 }
 
-void AgentReporter::TakeAnswer(const ReportAnswer& answer, const routing::TableVersion& own_table) {
-  digest_.TakeAnswer(answer.sequence, answer.flows);
-  whole_is_wanted_ = answer.flows == routing::FlowsOutcome::kNeedsWhole;
+void AgentReporter::HandleAnswer(const ReportAnswer& answer,
+                                 const routing::TableVersion& own_table) {
+  digest_.HandleAnswer(answer.sequence, answer.flows);
+  whole_is_wanted_ = answer.flows == routing::FlowCountsOutcome::kNeedsFullReport;
   SentReport& sent = sent_[answer.sequence % sent_.size()];
   if (sent.sequence != answer.sequence) {
     return;
   }
   // A doubled report is answered twice; each answer proves the same time.
   sent.answered = std::min(sent.answered.value_or(answer.table_version), answer.table_version);
-  NoteTable(own_table);
+  OnTableChanged(own_table);
 }
 
-void AgentReporter::NoteTable(const routing::TableVersion& own_table) {
+void AgentReporter::OnTableChanged(const routing::TableVersion& own_table) {
   for (const SentReport& sent : sent_) {
     if (sent.answered.has_value() && *sent.answered <= own_table) {
       confirmed_at_ = std::max(confirmed_at_, sent.sent_at);
--- a/libs/control/src/control_message.cpp
+++ b/libs/control/src/control_message.cpp
@@ -19,8 +19,8 @@
   body.set_epoch(answer.table_version.epoch);
   body.set_generation(answer.table_version.generation);
   body.set_table_sequence(answer.table_version.sequence);
-  body.set_flows_refused(answer.flows == routing::FlowsOutcome::kRefused);
-  body.set_needs_whole(answer.flows == routing::FlowsOutcome::kNeedsWhole);
+  body.set_flows_refused(answer.flows == routing::FlowCountsOutcome::kRefused);
+  body.set_needs_whole(answer.flows == routing::FlowCountsOutcome::kNeedsFullReport);
   return message.SerializeAsString();
 }
 
@@ -41,9 +41,10 @@
   }
   if (message.has_answer()) {
     const proto::ReportAnswer& body = message.answer();
-    const routing::FlowsOutcome flows = body.needs_whole()     ? routing::FlowsOutcome::kNeedsWhole
-                                        : body.flows_refused() ? routing::FlowsOutcome::kRefused
-                                                               : routing::FlowsOutcome::kTaken;
+    const routing::FlowCountsOutcome flows =
+        body.needs_whole()     ? routing::FlowCountsOutcome::kNeedsFullReport
+        : body.flows_refused() ? routing::FlowCountsOutcome::kRefused
+                               : routing::FlowCountsOutcome::kAccepted;
     return ReportAnswer{
         body.sequence(), {body.epoch(), body.generation(), body.table_sequence()}, flows};
   }
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -155,7 +155,7 @@
     agents_stale_.insert(event.member.metadata->service);
   }
   if (event.kind == membership::EventKind::kLeft) {
-    planners_.NoteFarewell(event.member.metadata->service, node, event.member.metadata->life);
+    planners_.NoteGracefulLeave(event.member.metadata->service, node, event.member.metadata->life);
   } else if (event.kind == membership::EventKind::kFailed) {
     planners_.NoteFailure(event.member, now);
   }
@@ -235,7 +235,7 @@
     auto table = std::make_shared<const routing::BucketTable>(routing::DecodeTable(bytes));
     planners_.OnForeignTable(service, table->version, now);
     if (service == options_.metadata.service) {
-      reporter_.NoteTable(table->version);
+      reporter_.OnTableChanged(table->version);
     }
     tables_[service] = std::move(table);
     view_stale_ = true;
@@ -352,7 +352,7 @@
                                      ControlActions& actions) {
   const ControlMessage message = DecodeControlMessage(envelope.payload);
   if (const auto* report = std::get_if<NumberedReport>(&message)) {
-    const std::optional<ReportAnswer> answer = planners_.TakeReport(*report, now);
+    const std::optional<ReportAnswer> answer = planners_.HandleReport(*report, now);
     if (answer.has_value()) {
       actions.envelopes.push_back({envelope.sender.control_address,
                                    transport::MessageKind::kControl, EncodeAnswer(*answer)});
@@ -362,7 +362,7 @@
   if (const auto* answer = std::get_if<ReportAnswer>(&message)) {
     const std::shared_ptr<const routing::BucketTable> table = TableOf(options_.metadata.service);
     const routing::TableVersion own = table == nullptr ? routing::TableVersion{} : table->version;
-    reporter_.TakeAnswer(*answer, own);
+    reporter_.HandleAnswer(*answer, own);
     view_stale_ = view_stale_ || view_ == nullptr || ConfirmedAt() > view_->confirmed_at;
     const bool missing = answer->table_version > own && directory_.Find(envelope.sender.node);
     if (missing) {
--- a/libs/control/src/planner_host.cpp
+++ b/libs/control/src/planner_host.cpp
@@ -30,7 +30,7 @@
   const bool wanted =
       endpoint != nullptr && endpoint->state == settings::AdministrativeState::kServing;
   if (!wanted || metadata.leaving) {
-    status.standing = routing::AgentStanding::kLeaving;
+    status.liveness = routing::AgentLiveness::kLeaving;
   }
   if (endpoint != nullptr) {
     status.weight = endpoint->weight / kOrdinaryWeight;
@@ -58,14 +58,14 @@
 
 }  // namespace
 
-routing::FlowsOutcome FlowsOutcomeOf(routing::ReportOutcome outcome) {
+routing::FlowCountsOutcome FlowCountsOutcomeOf(routing::ReportOutcome outcome) {
   switch (outcome) {
-    case routing::ReportOutcome::kTaken:
-      return routing::FlowsOutcome::kTaken;
-    case routing::ReportOutcome::kNeedsWhole:
-      return routing::FlowsOutcome::kNeedsWhole;
+    case routing::ReportOutcome::kAccepted:
+      return routing::FlowCountsOutcome::kAccepted;
+    case routing::ReportOutcome::kNeedsFullReport:
+      return routing::FlowCountsOutcome::kNeedsFullReport;
     default:
-      return routing::FlowsOutcome::kRefused;
+      return routing::FlowCountsOutcome::kRefused;
   }
 }
 
@@ -112,11 +112,11 @@
   }
 }
 
-void PlannerHost::NoteFarewell(base::ServiceId service, base::NodeId agent,
-                               base::Incarnation life) {
+void PlannerHost::NoteGracefulLeave(base::ServiceId service, base::NodeId agent,
+                                    base::Incarnation life) {
   const auto found = hosted_.find(service);
   if (found != hosted_.end() && found->second.planner != nullptr) {
-    found->second.planner->NoteFarewell(agent, life);
+    found->second.planner->NoteGracefulLeave(agent, life);
   }
 }
 
@@ -135,7 +135,7 @@
     const bool is_ours = failure.agent.metadata->service == service.id;
     if (is_recent && is_ours && directory.Find(failure.agent.node) == nullptr) {
       statuses.push_back(StatusOf(failure.agent, service));
-      statuses.back().standing = routing::AgentStanding::kDead;
+      statuses.back().liveness = routing::AgentLiveness::kDead;
     }
   }
 }
@@ -150,8 +150,8 @@
   }
 }
 
-std::optional<ReportAnswer> PlannerHost::TakeReport(const NumberedReport& numbered,
-                                                    base::TimePoint now) {
+std::optional<ReportAnswer> PlannerHost::HandleReport(const NumberedReport& numbered,
+                                                      base::TimePoint now) {
   const auto found = hosted_.find(numbered.report.service);
   if (found == hosted_.end()) {
     return std::nullopt;
@@ -171,13 +171,13 @@
 std::optional<ReportAnswer> PlannerHost::TakeAndAnswer(routing::ServicePlanner& planner,
                                                        const routing::AgentReport& report,
                                                        base::TimePoint now) {
-  const routing::ReportOutcome outcome = planner.TakeReport(report, now);
+  const routing::ReportOutcome outcome = planner.HandleReport(report, now);
   if (!routing::ServicePlanner::MayAnswer(outcome)) {
     return std::nullopt;
   }
   planner.NoteAnswered(report.node, report.incarnation, now);
   return ReportAnswer{report.sequence, planner.ListedSince(report.node, report.incarnation),
-                      FlowsOutcomeOf(outcome)};
+                      FlowCountsOutcomeOf(outcome)};
 }
 
 std::vector<routing::BucketTable> PlannerHost::Tick(const PlanningContext& context,
--- a/libs/control/tests/agent_reporter_test.cpp
+++ b/libs/control/tests/agent_reporter_test.cpp
@@ -43,11 +43,11 @@
     AgentReporter reporter({});
     reporter.Update({});
     const std::uint64_t first = reporter.Tick(At(1000))->sequence;
-    reporter.TakeAnswer({first, {2, 1, 5}}, {2, 1, 4});
+    reporter.HandleAnswer({first, {2, 1, 5}}, {2, 1, 4});
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});  // the planner has a newer one
-    reporter.TakeAnswer({first + 7, {2, 1, 4}}, {2, 1, 4});
+    reporter.HandleAnswer({first + 7, {2, 1, 4}}, {2, 1, 4});
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});  // no such report
-    reporter.TakeAnswer({first, {2, 1, 4}}, {2, 1, 4});
+    reporter.HandleAnswer({first, {2, 1, 4}}, {2, 1, 4});
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));  // when it was sent, not when answered
   }
 
@@ -55,10 +55,10 @@
     AgentReporter reporter({});
     reporter.Update({});
     const std::uint64_t first = reporter.Tick(At(1000))->sequence;
-    reporter.TakeAnswer({first, {2, 1, 5}}, {2, 1, 4});
-    reporter.NoteTable({2, 1, 4});
+    reporter.HandleAnswer({first, {2, 1, 5}}, {2, 1, 4});
+    reporter.OnTableChanged({2, 1, 4});
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == base::TimePoint{});
-    reporter.NoteTable({2, 1, 6});
+    reporter.OnTableChanged({2, 1, 6});
     CPPUNIT_ASSERT(reporter.ConfirmedAt() == At(1000));
   }
 
@@ -69,12 +69,12 @@
     routing::AgentReport report;
     for (std::uint32_t step = 1; step <= 100; ++step) {
       const base::TimePoint now = At(static_cast<int>(step) * kIntervalMilliseconds);
-      reporter.NoteTable({2, 1, step});
+      reporter.OnTableChanged({2, 1, step});
       report.table_version = {2, 1, step};
       reporter.Update(report);
       const auto numbered = reporter.Tick(now);
       CPPUNIT_ASSERT(numbered.has_value());
-      reporter.TakeAnswer({numbered->sequence, {2, 1, step + 1}}, {2, 1, step});
+      reporter.HandleAnswer({numbered->sequence, {2, 1, step + 1}}, {2, 1, step});
       CPPUNIT_ASSERT(step == 1 || reporter.ConfirmedAt() >=
                                       now - std::chrono::milliseconds(2 * kIntervalMilliseconds));
     }
@@ -87,16 +87,16 @@
     reporter.SetPlanner(base::NodeId(1));
     reporter.Update(report);
     const NumberedReport first = *reporter.Tick(At(0));
-    reporter.TakeAnswer({first.sequence, {}}, {});
+    reporter.HandleAnswer({first.sequence, {}}, {});
     const NumberedReport second = *reporter.Tick(At(1000));
     CPPUNIT_ASSERT_EQUAL(first.sequence, second.report.flows_base);
     reporter.SetPlanner(base::NodeId(2));
     const NumberedReport third = *reporter.Tick(At(2000));
     CPPUNIT_ASSERT(third.report.flows_in_buckets == report.flows_in_buckets);
-    reporter.TakeAnswer({third.sequence, {}}, {});
+    reporter.HandleAnswer({third.sequence, {}}, {});
     const NumberedReport fourth = *reporter.Tick(At(3000));
     CPPUNIT_ASSERT_EQUAL(third.sequence, fourth.report.flows_base);
-    reporter.TakeAnswer({fourth.sequence, {}, routing::FlowsOutcome::kNeedsWhole}, {});
+    reporter.HandleAnswer({fourth.sequence, {}, routing::FlowCountsOutcome::kNeedsFullReport}, {});
     const std::optional<NumberedReport> fifth = reporter.Tick(At(3200));  // and soon
     CPPUNIT_ASSERT(fifth->report.flows_in_buckets == report.flows_in_buckets);
   }
@@ -119,8 +119,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, std::get<NumberedReport>(shortened).report.flows_base);
     CPPUNIT_ASSERT(std::get<NumberedReport>(shortened).report.flow_changes ==
                    report.report.flow_changes);
-    for (const auto flows : {routing::FlowsOutcome::kTaken, routing::FlowsOutcome::kRefused,
-                             routing::FlowsOutcome::kNeedsWhole}) {
+    for (const auto flows :
+         {routing::FlowCountsOutcome::kAccepted, routing::FlowCountsOutcome::kRefused,
+          routing::FlowCountsOutcome::kNeedsFullReport}) {
       const ControlMessage reread = DecodeControlMessage(EncodeAnswer({9, {1, 2, 3}, flows}));
       CPPUNIT_ASSERT(std::get<ReportAnswer>(reread).flows == flows);
     }
--- a/libs/flow/include/gaugevalve/flow/bucket_ownership.h
+++ b/libs/flow/include/gaugevalve/flow/bucket_ownership.h
@@ -47,12 +47,12 @@
 enum class Verdict : std::uint8_t {
   kServe,   // the flow is here
   kOpen,    // a first datagram: open the flow here
-  kPassOn,  // send it to Ruling::next_hop with the header as changed
-  kDrop,    // for Ruling::reason
+  kPassOn,  // send it to OwnershipDecision::next_hop with the header as changed
+  kDrop,    // for OwnershipDecision::reason
 };
 
 // The decision about one datagram.
-struct Ruling {
+struct OwnershipDecision {
   Verdict verdict = Verdict::kDrop;
   base::SocketAddress next_hop;              // kPassOn only
   DropReason reason = DropReason::kNoTable;  // kDrop only
@@ -86,7 +86,7 @@
   // threshold; without it the agent can't know of pauses.
   void NoteTime(base::TimePoint now);
 
-  // Notes a pause when the last NoteTime() was too long ago. Call it before ruling.
+  // Notes a pause when the last NoteTime() was too long ago. Call it before decision.
   void CheckPause(base::TimePoint now);
 
   // From now on the agent opens nothing that another could open. Idempotent.
@@ -94,12 +94,14 @@
 
   // Drops what isn't this agent's; otherwise settles the newest entry between this agent and the
   // datagram, and leaves it in the header. `flow_key_hash` is the hash that chose the bucket.
-  std::optional<DropReason> Settle(wire::ForwardingHeader& header, std::uint64_t flow_key_hash);
+  std::optional<DropReason> ReconcileEntry(wire::ForwardingHeader& header,
+                                           std::uint64_t flow_key_hash);
 
   // Rules on a settled datagram; prepares the header for the next hop where it is passed on. `held`
   // is the version of the entry under which this agent has the flow confirmed, if it has the flow.
-  Ruling Rule(wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held,
-              base::TimePoint now) const;
+  OwnershipDecision Decide(wire::ForwardingHeader& header,
+                           const std::optional<routing::TableVersion>& held,
+                           base::TimePoint now) const;
 
   // Returns the version of the newest entry known of a bucket, which must be below BucketCount().
   routing::TableVersion EntryVersion(base::BucketIndex bucket) const {
@@ -123,16 +125,18 @@
   bool IsSelf(const wire::AgentAddress& agent) const { return agent.node == identity_.node; }
   std::optional<DropReason> ReasonNotToOpen(const wire::BucketEntry& entry,
                                             base::TimePoint now) const;
-  Ruling StartWalk(wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held,
-                   base::TimePoint now) const;
-  Ruling ContinueWalk(wire::ForwardingHeader& header,
-                      const std::optional<routing::TableVersion>& held) const;
-  Ruling EndWalk(wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held,
-                 base::TimePoint now) const;
-  Ruling OpenOrRefuse(const wire::BucketEntry& entry, base::TimePoint now) const;
-  Ruling PassToClaimant(wire::ForwardingHeader& header) const;
-  static Ruling PassToOwner(wire::ForwardingHeader& header);
-  static Ruling PassTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header);
+  OwnershipDecision StartWalk(wire::ForwardingHeader& header,
+                              const std::optional<routing::TableVersion>& held,
+                              base::TimePoint now) const;
+  OwnershipDecision ContinueWalk(wire::ForwardingHeader& header,
+                                 const std::optional<routing::TableVersion>& held) const;
+  OwnershipDecision EndWalk(wire::ForwardingHeader& header,
+                            const std::optional<routing::TableVersion>& held,
+                            base::TimePoint now) const;
+  OwnershipDecision OpenOrRefuse(const wire::BucketEntry& entry, base::TimePoint now) const;
+  OwnershipDecision PassToClaimant(wire::ForwardingHeader& header) const;
+  static OwnershipDecision PassToOwner(wire::ForwardingHeader& header);
+  static OwnershipDecision PassTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header);
 
   AgentIdentity identity_;
   OwnershipSettings settings_;
--- a/libs/flow/src/bucket_ownership.cpp
+++ b/libs/flow/src/bucket_ownership.cpp
@@ -5,9 +5,9 @@
 namespace gaugevalve::flow {
 namespace {
 
-Ruling Drop(DropReason reason) { return {Verdict::kDrop, {}, reason, false}; }
+OwnershipDecision Drop(DropReason reason) { return {Verdict::kDrop, {}, reason, false}; }
 
-Ruling Serve(bool confirms) { return {Verdict::kServe, {}, {}, confirms}; }
+OwnershipDecision Serve(bool confirms) { return {Verdict::kServe, {}, {}, confirms}; }
 
 }  // namespace
 
@@ -46,8 +46,8 @@
   draining_since_ = draining_since_.value_or(now);
 }
 
-std::optional<DropReason> BucketOwnership::Settle(wire::ForwardingHeader& header,
-                                                  std::uint64_t flow_key_hash) {
+std::optional<DropReason> BucketOwnership::ReconcileEntry(wire::ForwardingHeader& header,
+                                                          std::uint64_t flow_key_hash) {
   if (header.service != identity_.service) {
     return DropReason::kForeignService;
   }
@@ -75,9 +75,9 @@
   return std::nullopt;
 }
 
-Ruling BucketOwnership::Rule(wire::ForwardingHeader& header,
-                             const std::optional<routing::TableVersion>& held,
-                             base::TimePoint now) const {
+OwnershipDecision BucketOwnership::Decide(wire::ForwardingHeader& header,
+                                          const std::optional<routing::TableVersion>& held,
+                                          base::TimePoint now) const {
   if (held == header.entry.version) {
     return Serve(false);
   }
@@ -86,24 +86,24 @@
   }
   const bool hops_are_spent = header.hop_count >= kMaxHops;
   const bool is_owner = IsSelf(header.entry.owner);
-  Ruling ruling;
+  OwnershipDecision decision;
   if (header.walk == wire::ChainWalk::kFinished) {
-    ruling = EndWalk(header, held, now);
+    decision = EndWalk(header, held, now);
   } else if (is_owner) {
-    ruling = StartWalk(header, held, now);
+    decision = StartWalk(header, held, now);
   } else if (header.walk == wire::ChainWalk::kWalking) {
-    ruling = ContinueWalk(header, held);
+    decision = ContinueWalk(header, held);
   } else {
-    ruling = PassToOwner(header);
+    decision = PassToOwner(header);
   }
-  const bool passes_on = ruling.verdict == Verdict::kPassOn;
-  return passes_on && hops_are_spent ? Drop(DropReason::kHopLimit) : ruling;
+  const bool passes_on = decision.verdict == Verdict::kPassOn;
+  return passes_on && hops_are_spent ? Drop(DropReason::kHopLimit) : decision;
 }
 
 // At the owner: asks the first previous owner, or decides when there is none.
-Ruling BucketOwnership::StartWalk(wire::ForwardingHeader& header,
-                                  const std::optional<routing::TableVersion>& held,
-                                  base::TimePoint now) const {
+OwnershipDecision BucketOwnership::StartWalk(wire::ForwardingHeader& header,
+                                             const std::optional<routing::TableVersion>& held,
+                                             base::TimePoint now) const {
   const auto& chain = header.entry.previous_owners;
   const auto first = std::find_if_not(chain.begin(), chain.end(),
                                       [this](const auto& agent) { return IsSelf(agent); });
@@ -116,8 +116,8 @@
 }
 
 // At a previous owner: enters its claim and asks the next one; the last one ends the walk.
-Ruling BucketOwnership::ContinueWalk(wire::ForwardingHeader& header,
-                                     const std::optional<routing::TableVersion>& held) const {
+OwnershipDecision BucketOwnership::ContinueWalk(
+    wire::ForwardingHeader& header, const std::optional<routing::TableVersion>& held) const {
   const auto& chain = header.entry.previous_owners;
   const auto self =
       std::find_if(chain.begin(), chain.end(), [this](const auto& agent) { return IsSelf(agent); });
@@ -136,9 +136,9 @@
 }
 
 // Where a walk ended: at the agent whose claim is the best, or at the owner when there is none.
-Ruling BucketOwnership::EndWalk(wire::ForwardingHeader& header,
-                                const std::optional<routing::TableVersion>& held,
-                                base::TimePoint now) const {
+OwnershipDecision BucketOwnership::EndWalk(wire::ForwardingHeader& header,
+                                           const std::optional<routing::TableVersion>& held,
+                                           base::TimePoint now) const {
   const bool is_claimed = header.claim.holder != base::NodeId();
   const bool is_own_claim = header.claim.holder == identity_.node;
   const bool is_owner = IsSelf(header.entry.owner);
@@ -152,9 +152,10 @@
   return is_owner ? StartWalk(header, held, now) : PassToOwner(header);
 }
 
-Ruling BucketOwnership::OpenOrRefuse(const wire::BucketEntry& entry, base::TimePoint now) const {
+OwnershipDecision BucketOwnership::OpenOrRefuse(const wire::BucketEntry& entry,
+                                                base::TimePoint now) const {
   const std::optional<DropReason> reason = ReasonNotToOpen(entry, now);
-  return reason ? Drop(*reason) : Ruling{Verdict::kOpen, {}, {}, true};
+  return reason ? Drop(*reason) : OwnershipDecision{Verdict::kOpen, {}, {}, true};
 }
 
 std::optional<DropReason> BucketOwnership::ReasonNotToOpen(const wire::BucketEntry& entry,
@@ -184,7 +185,7 @@
   });
 }
 
-Ruling BucketOwnership::PassToClaimant(wire::ForwardingHeader& header) const {
+OwnershipDecision BucketOwnership::PassToClaimant(wire::ForwardingHeader& header) const {
   const auto& chain = header.entry.previous_owners;
   const auto claimant = std::find_if(chain.begin(), chain.end(), [&](const auto& agent) {
     return agent.node == header.claim.holder;
@@ -192,13 +193,14 @@
   return PassTo(claimant == chain.end() ? header.entry.owner : *claimant, header);
 }
 
-Ruling BucketOwnership::PassToOwner(wire::ForwardingHeader& header) {
+OwnershipDecision BucketOwnership::PassToOwner(wire::ForwardingHeader& header) {
   header.walk = wire::ChainWalk::kNotStarted;
   header.claim = {};
   return PassTo(header.entry.owner, header);
 }
 
-Ruling BucketOwnership::PassTo(const wire::AgentAddress& agent, wire::ForwardingHeader& header) {
+OwnershipDecision BucketOwnership::PassTo(const wire::AgentAddress& agent,
+                                          wire::ForwardingHeader& header) {
   header.target = agent.node;
   header.target_incarnation = agent.incarnation;
   ++header.hop_count;
--- a/libs/flow/src/flow_core.cpp
+++ b/libs/flow/src/flow_core.cpp
@@ -19,27 +19,27 @@
 FlowAction FlowCore::Decide(const wire::FlowKey& key, wire::ForwardingHeader& header,
                             base::TimePoint now) {
   ownership_.CheckPause(now);
-  if (const std::optional<DropReason> reason = ownership_.Settle(header, key.Hash())) {
+  if (const std::optional<DropReason> reason = ownership_.ReconcileEntry(header, key.Hash())) {
     return *reason;
   }
   const std::optional<FlowId> flow = table_.Find(key);
-  const Ruling ruling =
-      ownership_.Rule(header, flow ? std::optional(table_.Confirmed(*flow)) : std::nullopt, now);
-  switch (ruling.verdict) {
+  const OwnershipDecision decision =
+      ownership_.Decide(header, flow ? std::optional(table_.Confirmed(*flow)) : std::nullopt, now);
+  switch (decision.verdict) {
     case Verdict::kServe:
       table_.Touch(*flow, now);
-      if (ruling.confirms) {
+      if (decision.confirms) {
         table_.SetConfirmed(*flow, ownership_.EntryVersion(header.bucket));
       }
       return Relay{*flow, false};
     case Verdict::kOpen:
       return Open(key, header.bucket, now);
     case Verdict::kPassOn:
-      return PassOn{ruling.next_hop};
+      return PassOn{decision.next_hop};
     case Verdict::kDrop:
       break;
   }
-  return ruling.reason;
+  return decision.reason;
 }
 
 std::vector<FlowId> FlowCore::Tick(base::TimePoint now) {
--- a/libs/flow/tests/bucket_ownership_test.cpp
+++ b/libs/flow/tests/bucket_ownership_test.cpp
@@ -58,23 +58,24 @@
   // `held` is the version under which the agent has the flow confirmed; 0 is "not at all".
   std::string Decide(wire::ForwardingHeader& header, std::uint32_t held = 0,
                      base::Duration age = base::Duration(0)) {
-    if (const auto reason = ownership_.Settle(header, kFlowHash)) {
+    if (const auto reason = ownership_.ReconcileEntry(header, kFlowHash)) {
       return std::string(ToString(*reason));
     }
     const auto confirmed =
         held > 0 ? std::optional(routing::TableVersion{1, 0, held}) : std::nullopt;
-    const Ruling ruling = ownership_.Rule(header, confirmed, base::TimePoint() + age);
-    switch (ruling.verdict) {
+    const OwnershipDecision decision =
+        ownership_.Decide(header, confirmed, base::TimePoint() + age);
+    switch (decision.verdict) {
       case Verdict::kServe:
         return "serve";
       case Verdict::kOpen:
         return "open";
       case Verdict::kPassOn:
-        return "pass:" + std::to_string(ruling.next_hop.port);
+        return "pass:" + std::to_string(decision.next_hop.port);
       case Verdict::kDrop:
         break;
     }
-    return std::string(ToString(ruling.reason));
+    return std::string(ToString(decision.reason));
   }
 
   BucketOwnership& Ownership() { return ownership_; }
--- a/libs/machines/include/gaugevalve/machines/machine_list_client.h
+++ b/libs/machines/include/gaugevalve/machines/machine_list_client.h
@@ -29,7 +29,7 @@
                     Callback on_list);
 
   // Returns how many fetches in a row have brought nothing readable.
-  std::uint64_t FailuresInARow() const { return poller_.FailuresInARow(); }
+  std::uint64_t ConsecutiveFailures() const { return poller_.ConsecutiveFailures(); }
 
  private:
   void OnHttpAnswer(const http_client::HttpAnswer& answer) override;
--- a/libs/machines/include/gaugevalve/machines/machine_list_poller.h
+++ b/libs/machines/include/gaugevalve/machines/machine_list_poller.h
@@ -43,7 +43,7 @@
   base::TimePoint NextDue() const { return due_; }
 
   // Returns how many fetches in a row have brought nothing readable.
-  std::uint64_t FailuresInARow() const { return failures_; }
+  std::uint64_t ConsecutiveFailures() const { return failures_; }
 
  private:
   void ScheduleNext(base::TimePoint now);
--- a/libs/machines/tests/machine_list_poller_test.cpp
+++ b/libs/machines/tests/machine_list_poller_test.cpp
@@ -34,7 +34,7 @@
     CPPUNIT_ASSERT(!poller.ExpireIfDue(clock_.Now()));
     clock_.Advance(MachineListPollerSettings{}.timeout);
     CPPUNIT_ASSERT(poller.ExpireIfDue(clock_.Now()));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, poller.FailuresInARow());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, poller.ConsecutiveFailures());
   }
 
   void TakesOnlyNewerLists() {
@@ -49,9 +49,9 @@
     MachineListPoller poller({}, kSeed);
     poller.OnAnswer({503, "", std::nullopt}, clock_.Now());
     poller.OnAnswer({200, "not JSON", std::nullopt}, clock_.Now());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, poller.FailuresInARow());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, poller.ConsecutiveFailures());
     poller.OnAnswer(List(1), clock_.Now());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, poller.FailuresInARow());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, poller.ConsecutiveFailures());
   }
 
  private:
--- a/libs/placement/include/gaugevalve/placement/agent_core.h
+++ b/libs/placement/include/gaugevalve/placement/agent_core.h
@@ -19,7 +19,7 @@
 #include "gaugevalve/placement/flow_packet.h"
 #include "gaugevalve/placement/forward_header.h"
 #include "gaugevalve/placement/held_addresses.h"
-#include "gaugevalve/placement/outcome_monitor.h"
+#include "gaugevalve/placement/outlier_detector.h"
 #include "gaugevalve/placement/report_schedule.h"
 #include "gaugevalve/placement/request_class.h"
 #include "gaugevalve/placement/request_queue.h"
@@ -35,7 +35,7 @@
   base::Duration drain_limit = std::chrono::seconds(3);  ///< see EndpointGate's memory limit
   std::size_t flow_limit = 50'000;
   std::size_t balancer_limit = 2'048;
-  /// Whether an endpoint that resets requests is passed over for a while; see OutcomeMonitor.
+  /// Whether an endpoint that resets requests is passed over for a while; see OutlierDetector.
   bool ejects_failing = true;
   /// Whether requests on open flows wait here while the endpoint is full, the more urgent first.
   bool queues_requests = false;
@@ -50,14 +50,14 @@
 enum class AgentVerdict : std::uint8_t {
   kDeliver,
   kReturn,
-  kPassOn,
+  kForwardToNextAgent,
   kToClient,
   kQueue,  ///< keep the packet until AgentCore::TakeReleased() names its flow
   kDrop
 };
 
 /// What an announcement of the endpoint came to.
-struct EndpointNews {
+struct AnnouncementResult {
   AnnouncementOutcome outcome = AnnouncementOutcome::kTaken;
   bool is_successor = false;   ///< of an incarnation that started earlier and has ended
   std::size_t dead_flows = 0;  ///< of its former life, given out by AgentCore::FlowsToReset()
@@ -74,8 +74,9 @@
 /// What became of requests on open flows.
 struct QueueCounters {
   std::uint64_t queued = 0;
-  std::uint64_t given_up = 0;       ///< their callers had, while they waited
-  std::uint64_t without_place = 0;  ///< dropped from a full queue; their callers send them again
+  std::uint64_t given_up = 0;  ///< their callers had, while they waited
+  std::uint64_t dropped_on_full_queue =
+      0;  ///< dropped from a full queue; their callers send them again
 };
 
 /// What to do with one packet.
@@ -84,11 +85,11 @@
   std::uint32_t mark =
       0;  ///< for kDeliver and kQueue: the endpoint gives it back if it doesn't take it
   base::SocketAddress balancer;  ///< for kReturn
-  ForwardHeader header;          ///< for kReturn and kPassOn
-  base::SocketAddress next;      ///< for kPassOn: the next agent of the search
-  SearchRoute route;             ///< for kPassOn: what is left of it
+  ForwardHeader header;          ///< for kReturn and kForwardToNextAgent
+  base::SocketAddress next;      ///< for kForwardToNextAgent: the next agent of the search
+  SearchRoute route;             ///< for kForwardToNextAgent: what is left of it
   /// For kToClient: a balancer that searches for this flow's owner and is to be told.
-  std::optional<base::SocketAddress> searcher;
+  std::optional<base::SocketAddress> searching_balancer;
 };
 
 /// Decision core. Not thread-safe.
@@ -111,8 +112,8 @@
   /// the flows of that one are dead: their clients are told before they send on them, and requests
   /// that wait for it are dropped.
   /// @param unix_ms  the time of day, in the terms of EndpointIncarnation::started_ms
-  EndpointNews OnAnnouncement(const Announcement& announcement, std::uint64_t unix_ms,
-                              base::TimePoint now);
+  AnnouncementResult OnAnnouncement(const Announcement& announcement, std::uint64_t unix_ms,
+                                    base::TimePoint now);
 
   /// Takes which zones are evacuated: while the agent's own is, new flows are returned, however
   /// little the balancer that sends them knows. The agent tells balancers in its reports.
@@ -175,7 +176,7 @@
   std::size_t FlowCount() const { return m_flows.size(); }
 
   /// What became of the flows of the endpoint's present incarnation.
-  OutcomeMonitor& Outcomes();
+  OutlierDetector& OutlierDetection();
 
  private:
   // An opening without a request counts as a coming request for this long.
@@ -204,7 +205,7 @@
     bool is_stuck = false;            // its answer is overdue by far
     bool client_closed = false;
     bool endpoint_closed = false;
-    std::optional<base::SocketAddress> searcher;
+    std::optional<base::SocketAddress> searching_balancer;
     SearchRoute route;  // where the flow's packets go on if the endpoint doesn't hold it
     std::uint8_t search_round = 0;
     bool is_not_held = false;  // kept for its route only
@@ -261,7 +262,7 @@
   std::uint64_t m_report_sequence = 0;
   std::uint64_t m_held_routes = 0;  // version of the configuration that the agent holds
   ReportSchedule m_reports;
-  OutcomeMonitor m_outcomes;
+  OutlierDetector m_outcomes;
   EndpointIncarnation m_monitored;  // that they are of
   DeadFlowQueue m_dead;
   RequestQueue m_queue;
--- a/libs/placement/include/gaugevalve/placement/agent_directory.h
+++ b/libs/placement/include/gaugevalve/placement/agent_directory.h
@@ -21,8 +21,8 @@
 struct KnownAgent {
   base::SocketAddress address;
   AgentReport report;
-  std::uint32_t zone = 0;           ///< ZoneHash() of its zone, also before its first report
-  base::Incarnation previous_life;  ///< of the agent; what still comes from it is late
+  std::uint32_t zone = 0;                  ///< ZoneHash() of its zone, also before its first report
+  base::Incarnation previous_incarnation;  ///< of the agent; what still comes from it is late
   base::TimePoint heard_at{};
   base::TimePoint reported_at{};          ///< its last whole report, which names the endpoint
   bool is_only_listed = false;            ///< by somebody else; not heard here
@@ -69,7 +69,7 @@
   static void NoteOpening(KnownAgent& agent, base::TimePoint now);
 
   /// Notes a sign of life other than a report.
-  void NoteLife(const base::SocketAddress& address);
+  void NoteActivity(const base::SocketAddress& address);
 
   /// Returns how long an agent may be silent before it is taken for gone: `least`, or longer where
   /// it says that it reports less often.
--- a/libs/placement/include/gaugevalve/placement/agent_discovery.h
+++ b/libs/placement/include/gaugevalve/placement/agent_discovery.h
@@ -8,7 +8,7 @@
 
 #include "gaugevalve/base/socket_address.h"
 #include "gaugevalve/base/time.h"
-#include "gaugevalve/placement/agent_questions.h"
+#include "gaugevalve/placement/agent_queries.h"
 
 namespace gaugevalve::placement {
 
@@ -25,7 +25,7 @@
   void NoteAgentCount(std::size_t agents);
 
   /// Notes an agent that somebody named and that hasn't been heard.
-  /// @return  whether it is to be asked now; otherwise TakeQuestions() names it later
+  /// @return  whether it is to be asked now; otherwise TakeDueQueries() names it later
   bool TakeNamed(const base::SocketAddress& agent, base::TimePoint now) {
     return m_questions.Ask(agent, now);
   }
@@ -35,10 +35,10 @@
 
   /// Returns whether an agent that has just been heard is to be asked which others it knows, and
   /// counts it as asked: the first few are, and more while agents are missing.
-  bool TakeFellowsQuestion(std::size_t heard);
+  bool TakePeerListQuery(std::size_t heard);
 
   /// Returns the agents to be asked now, again or for the first time. Call a few times a second.
-  std::vector<base::SocketAddress> TakeQuestions(base::TimePoint now) {
+  std::vector<base::SocketAddress> TakeDueQueries(base::TimePoint now) {
     return m_questions.TakeDue(now);
   }
 
@@ -55,7 +55,7 @@
   bool HasCount() const { return m_agent_count > 0; }
 
   /// Returns whether there are more agents than have been heard or named.
-  bool MissesNames(std::size_t heard) const;
+  bool HasUnnamedAgents(std::size_t heard) const;
 
   /// Returns whether an agent that was named may still answer.
   bool IsWaiting() const { return m_questions.Count() > m_questions.GivenUpCount(); }
@@ -70,7 +70,7 @@
  private:
   std::size_t m_agent_count = 0;
   std::size_t m_fellows_asked = 0;  // agents that were asked which others they know
-  AgentQuestions m_questions;
+  AgentQueries m_questions;
 };
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/agent_questions.h
+++ b/libs/placement/include/gaugevalve/placement/agent_queries.h
@@ -17,10 +17,10 @@
 /// Decision core: asks an agent at once, a few times more, and gives it up when nothing comes back;
 /// then it is asked seldom, so that one that returns is heard soon. All at a bounded rate and
 /// bounded in number. Not thread-safe.
-class AgentQuestions {
+class AgentQueries {
  public:
   /// @param most_questions  after so many without an answer an agent is given up
-  explicit AgentQuestions(unsigned most_questions) : m_most_questions(most_questions) {}
+  explicit AgentQueries(unsigned most_questions) : m_most_questions(most_questions) {}
 
   /// Between two questions to the same agent. One that restarts at the same moment is up sooner:
   /// after total stops agents start 0.66 to 0.85 s and balancers 0.87 to 1.16 s later (logs).
--- a/libs/placement/include/gaugevalve/placement/agent_reporter.h
+++ b/libs/placement/include/gaugevalve/placement/agent_reporter.h
@@ -9,8 +9,8 @@
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/placement/agent_core.h"
 #include "gaugevalve/placement/balancer_list.h"
-#include "gaugevalve/placement/fellow_list.h"
 #include "gaugevalve/placement/node_message.h"
+#include "gaugevalve/placement/peer_agent_list.h"
 
 namespace gaugevalve::placement {
 
@@ -47,10 +47,10 @@
   OutgoingReport ReportInTurn(base::TimePoint now);
 
   /// Returns whether no balancer seems to be there, so that others have to be looked for.
-  bool IsAlone(base::TimePoint now) const;
+  bool HasNoBalancer(base::TimePoint now) const;
 
   /// Returns how many questions got no answer since they came too fast.
-  std::uint64_t AnswersLeftOut() const { return m_answers_left_out; }
+  std::uint64_t SuppressedAnswerCount() const { return m_answers_left_out; }
 
  private:
   std::vector<base::SocketAddress> Targets(base::TimePoint now) const;
@@ -58,7 +58,7 @@
   base::Incarnation m_life;
   AgentCore& m_core;
   BalancerList m_balancers;
-  FellowList m_fellows;
+  PeerAgentList m_fellows;
   base::TimePoint m_greeted_at{};  // by any balancer
   std::uint64_t m_answers_left_out = 0;
 };
--- a/libs/placement/include/gaugevalve/placement/balancer_core.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_core.h
@@ -14,7 +14,7 @@
 #include "gaugevalve/base/time.h"
 #include "gaugevalve/placement/agent_directory.h"
 #include "gaugevalve/placement/agent_discovery.h"
-#include "gaugevalve/placement/agent_questions.h"
+#include "gaugevalve/placement/agent_queries.h"
 #include "gaugevalve/placement/dead_flow_queue.h"
 #include "gaugevalve/placement/endpoint_chooser.h"
 #include "gaugevalve/placement/evacuated_zones.h"
@@ -243,7 +243,7 @@
   base::RandomSource& m_random;
   AgentDirectory m_agents;
   AgentDiscovery m_discovery;
-  AgentQuestions m_suspects;                        // agents at which packets seem to get lost
+  AgentQueries m_suspects;                          // agents at which packets seem to get lost
   std::vector<base::SocketAddress> m_new_suspects;  // suspects that have not been queried yet
   bool m_has_learned = false;                       // since the start or the last pause
   EndpointChooser m_chooser;
--- a/libs/placement/include/gaugevalve/placement/endpoint_gate.h
+++ b/libs/placement/include/gaugevalve/placement/endpoint_gate.h
@@ -37,8 +37,8 @@
 /// What became of an announcement.
 enum class AnnouncementOutcome : std::uint8_t {
   kTaken,
-  kLate,     ///< an older one than the last of its incarnation, or of one that is over
-  kDoubted,  ///< of another incarnation while the present one seems to live: perhaps late
+  kLate,         ///< an older one than the last of its incarnation, or of one that is over
+  kUnconfirmed,  ///< of another incarnation while the present one seems to live: perhaps late
   /// Without a start, which the endpoint's own announcements name: somebody else's.
   kIncomplete,
 };
@@ -93,7 +93,7 @@
   void NoteOpening(base::TimePoint now);
   /// @param holds_flow  whether the packet is of a flow that the endpoint holds: one that is about
   ///                    to end gives back or resets what it gets, beside a closed port
-  void NoteLife(bool holds_flow, base::TimePoint now);
+  void NoteActivity(bool holds_flow, base::TimePoint now);
 
   EndpointStanding Standing(base::TimePoint now) const;
 
@@ -106,7 +106,7 @@
   bool MayBeCold(base::TimePoint now) const;
   /// Tells whether others may take this gate's word: the endpoint said itself that it leaves, or
   /// more than once that it is ready.
-  bool IsCertain() const { return m_is_first_hand && (m_is_repeated || m_is_leaving); }
+  bool IsConfirmed() const { return m_is_first_hand && (m_is_repeated || m_is_leaving); }
   const Announcement& Newest() const { return m_current; }
 
   /// Returns when the endpoint, or what is remembered of it, was last heard.
--- a/libs/placement/include/gaugevalve/placement/held_addresses.h
+++ b/libs/placement/include/gaugevalve/placement/held_addresses.h
@@ -16,11 +16,11 @@
 /// present routes only: it asks these agents as well.
 struct HeldAddresses {
   /// Each report carries the list, with 8 bytes an address. Endpoints stand behind one to three.
-  static constexpr std::size_t kMost = 16;
+  static constexpr std::size_t kMaxAddresses = 16;
 
   std::vector<base::SocketAddress> addresses;  ///< sorted, each once
   /// Whether the endpoint may hold flows of other addresses: its agent has started beside it and
-  /// doesn't know, or there are more than kMost.
+  /// doesn't know, or there are more than kMaxAddresses.
   bool may_be_more = false;
 
   /// Returns whether flows of `address` are among those that are known.
--- a/libs/placement/include/gaugevalve/placement/outcome_monitor.h
+++ b/libs/placement/include/gaugevalve/placement/outlier_detector.h
@@ -16,7 +16,7 @@
 /// or many among the last outcomes, the endpoint is ejected. It comes back by trial flows, one at a
 /// time, each after a pause that doubles with every relapse. Errors that are answers can't be told
 /// from other answers here, as nobody reads what flows carry. Not thread-safe.
-class OutcomeMonitor {
+class OutlierDetector {
  public:
   void NoteSuccess(base::TimePoint now);
   void NoteFailure(base::TimePoint now);
--- a/libs/placement/include/gaugevalve/placement/fellow_list.h
+++ b/libs/placement/include/gaugevalve/placement/peer_agent_list.h
@@ -13,13 +13,13 @@
 /// A bounded sample of the deployment's agents, renewed by what balancers tell. It outlives all
 /// balancers: when they are lost together, agents are the only ones who know the agents. A sample
 /// is enough, as each agent named by it has another one. Not thread-safe.
-class FellowList {
+class PeerAgentList {
  public:
   /// Entries kept; all of them and the report fit a datagram of 1,400 bytes.
   static constexpr std::size_t kLimit = 64;
 
   /// @param self  is never listed
-  explicit FellowList(const base::SocketAddress& self) : m_self(self) {}
+  explicit PeerAgentList(const base::SocketAddress& self) : m_self(self) {}
 
   /// Takes agents that a balancer has heard; where there is no room, they take the place of those
   /// that nobody has named for longest.
--- a/libs/placement/include/gaugevalve/placement/request_class.h
+++ b/libs/placement/include/gaugevalve/placement/request_class.h
@@ -45,6 +45,6 @@
 using PriorityCounts = std::array<std::uint32_t, kPriorityCount>;
 
 /// Returns how many of the requests are less urgent than `priority`.
-std::uint32_t CountBehind(const PriorityCounts& counts, std::uint8_t priority);
+std::uint32_t CountLessUrgent(const PriorityCounts& counts, std::uint8_t priority);
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/include/gaugevalve/placement/request_queue.h
+++ b/libs/placement/include/gaugevalve/placement/request_queue.h
@@ -14,7 +14,7 @@
 namespace gaugevalve::placement {
 
 /// How fast an endpoint works.
-struct EndpointPace {
+struct EndpointServiceRate {
   base::Duration answer_time{0};  ///< that a request usually takes once it is let through
   std::uint32_t slots = 1;        ///< requests at a time
 };
@@ -49,7 +49,7 @@
   bool Remove(const FlowKey& flow);
 
   /// Takes the next one.
-  std::optional<FlowKey> TakeNext(const EndpointPace& pace, base::TimePoint now);
+  std::optional<FlowKey> TakeNext(const EndpointServiceRate& pace, base::TimePoint now);
 
   /// Takes those whose callers have given up.
   std::vector<FlowKey> TakeExpired(base::TimePoint now);
@@ -68,7 +68,8 @@
   };
 
   bool CanBeInTime(const Waiting& request, base::Duration wait, base::TimePoint now) const;
-  std::size_t NextOf(std::uint8_t priority, const EndpointPace& pace, base::TimePoint now) const;
+  std::size_t NextOf(std::uint8_t priority, const EndpointServiceRate& pace,
+                     base::TimePoint now) const;
   std::size_t LeastUrgent() const;
   FlowKey TakeAt(std::size_t index);
 
--- a/libs/placement/src/agent_core.cpp
+++ b/libs/placement/src/agent_core.cpp
@@ -51,7 +51,7 @@
   if (has_room) {
     FlowRecord& record = m_flows[packet.flow];
     if (header.is_search) {
-      record.searcher = balancer;
+      record.searching_balancer = balancer;
       record.route = header.has_route ? route : SearchRoute();
       record.search_round = header.search_round;
     }
@@ -91,7 +91,7 @@
     return Return(header, balancer, ReturnReason::kWarmingUp);
   }
   // A flow that has nowhere else to go is a trial as well: there may be no other.
-  const bool is_admitted = is_known || Outcomes().TakeAdmission(now);
+  const bool is_admitted = is_known || OutlierDetection().TakeAdmission(now);
   if (!is_admitted && !header.must_accept) {
     return Return(header, balancer, ReturnReason::kNotAdmitting);
   }
@@ -112,7 +112,7 @@
 
 AgentDecision AgentCore::OnEndpointPacket(const FlowPacket& packet, std::uint32_t mark,
                                           base::TimePoint now) {
-  m_gate.NoteLife(!packet.is_bounced && !packet.is_reset, now);
+  m_gate.NoteActivity(!packet.is_bounced && !packet.is_reset, now);
   if (packet.is_bounced) {
     return OnBounced(packet, mark, now);
   }
@@ -127,8 +127,8 @@
   }
   FlowRecord& record = found->second;
   // A flow is held by the endpoint that goes on with it, not by one that answers an opening.
-  if (!packet.is_synchronizing && record.searcher) {
-    decision.searcher = std::exchange(record.searcher, std::nullopt);
+  if (!packet.is_synchronizing && record.searching_balancer) {
+    decision.searching_balancer = std::exchange(record.searching_balancer, std::nullopt);
   }
   NoteEndpointPacket(record, packet, now);
   if (packet.is_reset) {
@@ -171,7 +171,7 @@
     return Return(header, balancer, reason);
   }
   AgentDecision decision;
-  decision.verdict = AgentVerdict::kPassOn;
+  decision.verdict = AgentVerdict::kForwardToNextAgent;
   decision.next = route.next.front();
   decision.header = header;
   decision.header.kind = MessageKind::kForward;
@@ -234,7 +234,7 @@
   NoteRequestSize(record);
 }
 
-OutcomeMonitor& AgentCore::Outcomes() {
+OutlierDetector& AgentCore::OutlierDetection() {
   if (m_monitored != m_gate.Newest().incarnation) {
     m_monitored = m_gate.Newest().incarnation;
     m_outcomes = {};
@@ -254,9 +254,9 @@
   const std::uint32_t capacity = std::max(1U, m_gate.Newest().capacity);
   const bool is_loaded = Busy() > capacity || m_busy_average > kLoadedPart * capacity;
   if (packet.is_reset && !is_loaded) {
-    Outcomes().NoteFailure(now);
+    OutlierDetection().NoteFailure(now);
   } else if (!packet.is_reset && record.state == FlowState::kWaiting && packet.data_size > 0) {
-    Outcomes().NoteSuccess(now);
+    OutlierDetection().NoteSuccess(now);
   }
 }
 
@@ -345,8 +345,8 @@
   report.load.answer_time = m_answer_time;
   report.load.warm_up_left = m_gate.WarmUpLeft(now);
   report.period = m_reports.Period();
-  report.wants_memory = !m_gate.IsCertain();
-  report.is_ejected = Outcomes().IsEjected();
+  report.wants_memory = !m_gate.IsConfirmed();
+  report.is_ejected = OutlierDetection().IsEjected();
   report.agent_count = m_reports.AgentCount();
   report.routes_version = m_held_routes;
   report.evacuated = m_evacuated;
--- a/libs/placement/src/agent_directory.cpp
+++ b/libs/placement/src/agent_directory.cpp
@@ -53,13 +53,13 @@
   }
   KnownAgent& agent = found->second;
   const bool is_same_life = report.life == agent.report.life;
-  const bool is_older_life = !is_same_life && report.life == agent.previous_life;
+  const bool is_older_life = !is_same_life && report.life == agent.previous_incarnation;
   if (is_older_life || (is_same_life && report.sequence <= agent.report.sequence)) {
     return ReportOutcome::kLate;
   }
   const bool was_only_listed = agent.is_only_listed;
   if (!is_same_life && !was_only_listed) {
-    agent.previous_life = agent.report.life;
+    agent.previous_incarnation = agent.report.life;
   }
   const bool standing_changed = report.standing != agent.report.standing;
   Adopt(agent, report, now);
@@ -111,7 +111,7 @@
   }
 }
 
-void AgentDirectory::NoteLife(const base::SocketAddress& address) {
+void AgentDirectory::NoteActivity(const base::SocketAddress& address) {
   KnownAgent* agent = Find(address);
   if (agent != nullptr) {
     agent->unanswered_since.reset();
--- a/libs/placement/src/agent_discovery.cpp
+++ b/libs/placement/src/agent_discovery.cpp
@@ -22,12 +22,12 @@
   m_agent_count = std::max(m_agent_count, agents);
 }
 
-bool AgentDiscovery::MissesNames(std::size_t heard) const {
+bool AgentDiscovery::HasUnnamedAgents(std::size_t heard) const {
   return heard + m_questions.Count() < m_agent_count;
 }
 
-bool AgentDiscovery::TakeFellowsQuestion(std::size_t heard) {
-  if (m_fellows_asked >= kFellowsAskedFirst && !MissesNames(heard)) {
+bool AgentDiscovery::TakePeerListQuery(std::size_t heard) {
+  if (m_fellows_asked >= kFellowsAskedFirst && !HasUnnamedAgents(heard)) {
     return false;
   }
   ++m_fellows_asked;
--- a/libs/placement/src/agent_endpoint_life.cpp
+++ b/libs/placement/src/agent_endpoint_incarnation.cpp
@@ -32,11 +32,11 @@
       [now](const FlowRecord& record) { return now - record.last_packet > kOpeningTime; }, now);
 }
 
-EndpointNews AgentCore::OnAnnouncement(const Announcement& announcement, std::uint64_t unix_ms,
-                                       base::TimePoint now) {
+AnnouncementResult AgentCore::OnAnnouncement(const Announcement& announcement,
+                                             std::uint64_t unix_ms, base::TimePoint now) {
   const EndpointIncarnation before = m_gate.Newest().incarnation;
   const base::TimePoint last_heard = m_gate.HeardAt();
-  EndpointNews news;
+  AnnouncementResult news;
   news.outcome = m_gate.Announce(announcement, now);
   const EndpointIncarnation& present = m_gate.Newest().incarnation;
   news.is_successor = news.outcome == AnnouncementOutcome::kTaken && present.StartedAfter(before);
--- a/libs/placement/src/agent_questions.cpp
+++ b/libs/placement/src/agent_queries.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/placement/agent_questions.h"
+#include "gaugevalve/placement/agent_queries.h"
 
 namespace gaugevalve::placement {
 namespace {
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-void AgentQuestions::NoteAsked(Question& question, base::TimePoint now) {
+void AgentQueries::NoteAsked(Question& question, base::TimePoint now) {
   question.next_at = now + (question.is_given_up ? kGivenUpPause : kRetryPause);
   ++question.asked;
 }
 
-bool AgentQuestions::Ask(const base::SocketAddress& agent, base::TimePoint now) {
+bool AgentQueries::Ask(const base::SocketAddress& agent, base::TimePoint now) {
   if (m_questions.contains(agent) || m_questions.size() >= kQuestionLimit) {
     return false;
   }
@@ -33,7 +33,7 @@
   return true;
 }
 
-void AgentQuestions::NoteHeard(const base::SocketAddress& agent) {
+void AgentQueries::NoteHeard(const base::SocketAddress& agent) {
   const auto found = m_questions.find(agent);
   if (found == m_questions.end()) {
     return;
@@ -42,7 +42,7 @@
   m_questions.erase(found);
 }
 
-std::vector<base::SocketAddress> AgentQuestions::TakeDue(base::TimePoint now) {
+std::vector<base::SocketAddress> AgentQueries::TakeDue(base::TimePoint now) {
   std::vector<base::SocketAddress> due;
   for (auto& [agent, question] : m_questions) {
     if (now < question.next_at) {
@@ -60,7 +60,7 @@
   return due;
 }
 
-void AgentQuestions::Forget(const std::function<bool(const base::SocketAddress&)>& is_gone) {
+void AgentQueries::Forget(const std::function<bool(const base::SocketAddress&)>& is_gone) {
   absl::erase_if(m_questions, [&](const auto& entry) {
     const bool is_forgotten = is_gone(entry.first);
     m_given_up -= is_forgotten && entry.second.is_given_up ? 1 : 0;
@@ -68,13 +68,13 @@
   });
 }
 
-bool AgentQuestions::IsOverdue(const base::SocketAddress& agent, base::TimePoint now) const {
+bool AgentQueries::IsOverdue(const base::SocketAddress& agent, base::TimePoint now) const {
   const auto found = m_questions.find(agent);
   return found != m_questions.end() && found->second.asked > 0 &&
          now - found->second.first_at > kAnswerTime;
 }
 
-bool AgentQuestions::IsGivenUp(const base::SocketAddress& agent) const {
+bool AgentQueries::IsGivenUp(const base::SocketAddress& agent) const {
   const auto found = m_questions.find(agent);
   return found != m_questions.end() && found->second.is_given_up;
 }
--- a/libs/placement/src/agent_reporter.cpp
+++ b/libs/placement/src/agent_reporter.cpp
@@ -74,7 +74,7 @@
   return {m_core.MakeReport(now), std::move(share)};
 }
 
-bool AgentReporter::IsAlone(base::TimePoint now) const {
+bool AgentReporter::HasNoBalancer(base::TimePoint now) const {
   return now - m_greeted_at >= kGreetingSilence || m_balancers.Alive(now).empty();
 }
 
--- a/libs/placement/src/agent_requests.cpp
+++ b/libs/placement/src/agent_requests.cpp
@@ -47,14 +47,15 @@
   record.last_packet = now;
   record.acknowledged = packet.acknowledged;
   record.has_acknowledged = packet.is_acknowledging;
-  const std::optional<FlowKey> without_place = m_queue.Add(packet.flow, header.priority, now);
-  m_queue_counters.without_place += without_place ? 1 : 0;
-  if (without_place == packet.flow) {
+  const std::optional<FlowKey> dropped_on_full_queue =
+      m_queue.Add(packet.flow, header.priority, now);
+  m_queue_counters.dropped_on_full_queue += dropped_on_full_queue ? 1 : 0;
+  if (dropped_on_full_queue == packet.flow) {
     return {};
   }
-  if (without_place) {
-    m_displaced.push_back(*without_place);
-    Abandon(*without_place, now);
+  if (dropped_on_full_queue) {
+    m_displaced.push_back(*dropped_on_full_queue);
+    Abandon(*dropped_on_full_queue, now);
   }
   const std::uint32_t end = packet.sequence + packet.data_size;
   if (record.state != FlowState::kQueued) {
@@ -136,7 +137,7 @@
 
 // How many requests a new one of this priority would find before it.
 std::uint32_t AgentCore::BusyFor(std::uint8_t priority) const {
-  return Busy() - std::min(Busy(), CountBehind(m_queue.Counts(), priority));
+  return Busy() - std::min(Busy(), CountLessUrgent(m_queue.Counts(), priority));
 }
 
 void AgentCore::NoteRequestSize(FlowRecord& record) {
--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -22,7 +22,7 @@
 constexpr base::Duration kSuspectAfterSilence = std::chrono::milliseconds(300);
 // A suspect that does not answer for the silence limit divided by this number no longer counts as
 // the holder of a flow. Half the limit is enough: restarted agents were back within 0.57 s after
-// planned restarts and 0.85 s after total stops (docs/design/0018, AgentQuestions::kRetryPause).
+// planned restarts and 0.85 s after total stops (docs/design/0018, AgentQueries::kRetryPause).
 // Each client of a lost flow waits for this time.
 constexpr int kSuspectLimitDivisor = 2;
 
@@ -30,7 +30,7 @@
 unsigned SuspectQueries(base::Duration silence_limit) {
   constexpr unsigned kMinQueries = 4;  // some queries or answers may be lost
   const auto count =
-      static_cast<unsigned>(silence_limit / kSuspectLimitDivisor / AgentQuestions::kRetryPause);
+      static_cast<unsigned>(silence_limit / kSuspectLimitDivisor / AgentQueries::kRetryPause);
   return std::max(kMinQueries, count);
 }
 
--- a/libs/placement/src/balancer_gossip.cpp
+++ b/libs/placement/src/balancer_gossip.cpp
@@ -131,8 +131,8 @@
 
 OutgoingGreeting BalancerGossip::GreetNewAgent(const KnownAgent& agent, base::TimePoint now) {
   OutgoingGreeting welcome{agent.address, GreetingForAgent(agent, now)};
-  const bool asks = m_core.IsLearning(now) &&
-                    m_core.Discovery().TakeFellowsQuestion(m_core.Agents().HeardCount());
+  const bool asks =
+      m_core.IsLearning(now) && m_core.Discovery().TakePeerListQuery(m_core.Agents().HeardCount());
   welcome.greeting.wants_answer = asks;
   welcome.greeting.wants_fellows = asks;
   if (agent.report.wants_memory && agent.memory) {
@@ -223,10 +223,10 @@
 std::vector<OutgoingGreeting> BalancerGossip::Tick(base::TimePoint now) {
   m_balancers.ForgetSilent(kForgetAfter, now);
   std::vector<OutgoingGreeting> greetings = AskSuspects(now);
-  for (const base::SocketAddress& agent : m_core.Discovery().TakeQuestions(now)) {
+  for (const base::SocketAddress& agent : m_core.Discovery().TakeDueQueries(now)) {
     greetings.push_back(AskAgent(agent, now));
   }
-  if (m_core.IsLearning(now) && m_core.Discovery().MissesNames(m_core.Agents().HeardCount())) {
+  if (m_core.IsLearning(now) && m_core.Discovery().HasUnnamedAgents(m_core.Agents().HeardCount())) {
     for (const ListedAgent& agent : Sample(ListAgents(), kAgentsRequeriedPerTick, m_random)) {
       greetings.push_back({agent.address, GreetingWithoutLists(true, now)});
       greetings.back().greeting.wants_fellows = true;
--- a/libs/placement/src/balancer_placement.cpp
+++ b/libs/placement/src/balancer_placement.cpp
@@ -33,7 +33,7 @@
 // Returns how long a new request of the priority would wait for a slot at the endpoint.
 base::Duration ExpectedWait(const KnownAgent& agent, std::uint8_t priority) {
   const EndpointLoad& load = agent.report.load;
-  const std::uint32_t behind = std::min(load.busy, CountBehind(load.queued, priority));
+  const std::uint32_t behind = std::min(load.busy, CountLessUrgent(load.queued, priority));
   const std::uint32_t busy = load.busy - behind + agent.placed_since_report;
   const std::uint32_t capacity = std::max(1U, load.capacity);
   const std::uint32_t ahead = busy < capacity ? 0 : busy - capacity + 1;
--- a/libs/placement/src/balancer_search.cpp
+++ b/libs/placement/src/balancer_search.cpp
@@ -165,7 +165,7 @@
                                                 const base::SocketAddress& agent,
                                                 base::TimePoint now) {
   DetectPause(now);
-  m_agents.NoteLife(agent);
+  m_agents.NoteActivity(agent);
   m_suspects.NoteHeard(agent);
   const Route* route = m_routes.Find(packet.flow.destination);
   if (route == nullptr) {
@@ -235,7 +235,7 @@
 bool BalancerCore::OnHolderNotice(const FlowKey& flow, const base::SocketAddress& agent,
                                   base::ServiceId service, base::TimePoint now) {
   DetectPause(now);
-  m_agents.NoteLife(agent);
+  m_agents.NoteActivity(agent);
   m_suspects.NoteHeard(agent);
   FlowRecord& record = *FindOrAddRecord(flow);
   const bool has_changed_holder = record.agent != agent || !record.refused.empty();
--- a/libs/placement/src/endpoint_gate.cpp
+++ b/libs/placement/src/endpoint_gate.cpp
@@ -41,7 +41,7 @@
   switch (outcome) {
     case AnnouncementOutcome::kLate:
       return "late";
-    case AnnouncementOutcome::kDoubted:
+    case AnnouncementOutcome::kUnconfirmed:
       return "doubted";
     case AnnouncementOutcome::kIncomplete:
       return "incomplete";
@@ -135,7 +135,7 @@
     if (announcement.is_draining) {
       NoteEnded(announcement.incarnation);  // it says nothing about the one that is in place
     }
-    return AnnouncementOutcome::kDoubted;
+    return AnnouncementOutcome::kUnconfirmed;
   }
   Take(announcement, now);
   return AnnouncementOutcome::kTaken;
@@ -230,7 +230,7 @@
   }
 }
 
-void EndpointGate::NoteLife(bool holds_flow, base::TimePoint now) {
+void EndpointGate::NoteActivity(bool holds_flow, base::TimePoint now) {
   m_was_away = m_was_away || m_is_absent || IsUnresponsive(now);
   m_unanswered_since.reset();
   m_is_absent = m_is_absent && !holds_flow;
--- a/libs/placement/src/held_addresses.cpp
+++ b/libs/placement/src/held_addresses.cpp
@@ -44,9 +44,10 @@
   HeldAddresses held;
   std::set_union(m_present.begin(), m_present.end(), m_remembered.begin(), m_remembered.end(),
                  std::back_inserter(held.addresses));
-  held.may_be_more = held.addresses.size() > HeldAddresses::kMost || (!m_knows_all && IsYoung(now));
-  if (held.addresses.size() > HeldAddresses::kMost) {
-    held.addresses.resize(HeldAddresses::kMost);
+  held.may_be_more =
+      held.addresses.size() > HeldAddresses::kMaxAddresses || (!m_knows_all && IsYoung(now));
+  if (held.addresses.size() > HeldAddresses::kMaxAddresses) {
+    held.addresses.resize(HeldAddresses::kMaxAddresses);
   }
   return held;
 }
--- a/libs/placement/src/node_message.cpp
+++ b/libs/placement/src/node_message.cpp
@@ -75,7 +75,7 @@
 HeldAddresses ReadHeld(const proto::AgentReport& message) {
   HeldAddresses held;
   const auto count = std::min<std::size_t>(static_cast<std::size_t>(message.held_addresses_size()),
-                                           HeldAddresses::kMost);
+                                           HeldAddresses::kMaxAddresses);
   for (std::size_t index = 0; index < count; ++index) {
     const std::uint64_t number = message.held_addresses(static_cast<int>(index));
     held.addresses.push_back(base::SocketAddress::Ipv4(
--- a/libs/placement/src/outcome_monitor.cpp
+++ b/libs/placement/src/outlier_detector.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/placement/outcome_monitor.h"
+#include "gaugevalve/placement/outlier_detector.h"
 
 #include <algorithm>
 #include <bit>
@@ -27,17 +27,17 @@
 
 }  // namespace
 
-void OutcomeMonitor::Note(bool is_failure) {
+void OutlierDetector::Note(bool is_failure) {
   m_failures = ((m_failures << 1U) | (is_failure ? 1U : 0U)) & kWindowMask;
   m_outcomes = std::min(m_outcomes + 1, kWindow);
 }
 
-bool OutcomeMonitor::LooksBad() const {
+bool OutlierDetector::LooksBad() const {
   const bool in_row = m_outcomes >= kFailuresInRow && (m_failures & kRowMask) == kRowMask;
   return in_row || std::popcount(m_failures) >= kFailuresInWindow;
 }
 
-void OutcomeMonitor::NoteSuccess(base::TimePoint now) {
+void OutlierDetector::NoteSuccess(base::TimePoint now) {
   ++m_successes;
   if (!m_ejected_at) {
     Note(false);
@@ -53,7 +53,7 @@
   }
 }
 
-void OutcomeMonitor::NoteFailure(base::TimePoint now) {
+void OutlierDetector::NoteFailure(base::TimePoint now) {
   ++m_all_failures;
   if (!m_ejected_at) {
     Note(true);
@@ -70,7 +70,7 @@
   }
 }
 
-void OutcomeMonitor::Eject(base::TimePoint now) {
+void OutlierDetector::Eject(base::TimePoint now) {
   const bool is_relapse = m_ejections > 0 && now - m_admitted_at < kRecovered;
   m_pause = is_relapse ? std::min(2 * m_pause, kLongestPause) : kFirstPause;
   ++m_ejections;
@@ -80,14 +80,14 @@
   m_trial_at.reset();
 }
 
-void OutcomeMonitor::Admit(base::TimePoint now) {
+void OutlierDetector::Admit(base::TimePoint now) {
   m_ejected_at.reset();
   m_admitted_at = now;
   m_failures = 0;
   m_outcomes = 0;
 }
 
-bool OutcomeMonitor::TakeAdmission(base::TimePoint now) {
+bool OutlierDetector::TakeAdmission(base::TimePoint now) {
   if (!m_ejected_at) {
     return true;
   }
--- a/libs/placement/src/fellow_list.cpp
+++ b/libs/placement/src/peer_agent_list.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/placement/fellow_list.h"
+#include "gaugevalve/placement/peer_agent_list.h"
 
 #include <algorithm>
 
@@ -12,14 +12,14 @@
 
 }  // namespace
 
-void FellowList::Take(std::span<const ListedAgent> agents) {
+void PeerAgentList::Take(std::span<const ListedAgent> agents) {
   for (const ListedAgent& agent : agents) {
     ++m_names;
     TakeOne(agent);
   }
 }
 
-void FellowList::TakeOne(const ListedAgent& agent) {
+void PeerAgentList::TakeOne(const ListedAgent& agent) {
   if (agent.address == m_self) {
     return;
   }
@@ -38,7 +38,7 @@
   }
 }
 
-std::vector<ListedAgent> FellowList::List() const {
+std::vector<ListedAgent> PeerAgentList::List() const {
   std::vector<ListedAgent> listed;
   for (const Entry& entry : m_entries) {
     if (m_names - entry.name <= kForgetAfterNames) {
--- a/libs/placement/src/request_class.cpp
+++ b/libs/placement/src/request_class.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-std::uint32_t CountBehind(const PriorityCounts& counts, std::uint8_t priority) {
+std::uint32_t CountLessUrgent(const PriorityCounts& counts, std::uint8_t priority) {
   const auto first = counts.begin() + std::min<std::ptrdiff_t>(priority + 1, kPriorityCount);
   return std::accumulate(first, counts.end(), 0U);
 }
--- a/libs/placement/src/request_queue.cpp
+++ b/libs/placement/src/request_queue.cpp
@@ -67,7 +67,7 @@
   return target.count() == 0 || now - request.since + wait <= target;
 }
 
-std::size_t RequestQueue::NextOf(std::uint8_t priority, const EndpointPace& pace,
+std::size_t RequestQueue::NextOf(std::uint8_t priority, const EndpointServiceRate& pace,
                                  base::TimePoint now) const {
   const base::Duration answer = pace.answer_time * kSpread;
   std::vector<std::size_t> all;
@@ -89,7 +89,8 @@
   return all_can ? timely.front() : timely.back();
 }
 
-std::optional<FlowKey> RequestQueue::TakeNext(const EndpointPace& pace, base::TimePoint now) {
+std::optional<FlowKey> RequestQueue::TakeNext(const EndpointServiceRate& pace,
+                                              base::TimePoint now) {
   if (m_waiting.empty()) {
     return std::nullopt;
   }
--- a/libs/placement/tests/agent_core_test.cpp
+++ b/libs/placement/tests/agent_core_test.cpp
@@ -137,11 +137,11 @@
     Announce();
     m_header.is_search = true;
     Forward(Data(Flow(1), 101));
-    CPPUNIT_ASSERT(!m_core.OnEndpointPacket(OpeningAnswer(Flow(1)), 0, m_now).searcher);
+    CPPUNIT_ASSERT(!m_core.OnEndpointPacket(OpeningAnswer(Flow(1)), 0, m_now).searching_balancer);
     const AgentDecision decision = m_core.OnEndpointPacket(Answer(Flow(1)), 0, m_now);
     CPPUNIT_ASSERT(decision.verdict == AgentVerdict::kToClient);
-    CPPUNIT_ASSERT(decision.searcher == Node(5));
-    CPPUNIT_ASSERT(!m_core.OnEndpointPacket(Answer(Flow(1)), 0, m_now).searcher);
+    CPPUNIT_ASSERT(decision.searching_balancer == Node(5));
+    CPPUNIT_ASSERT(!m_core.OnEndpointPacket(Answer(Flow(1)), 0, m_now).searching_balancer);
   }
 
   void APacketOfASearchGoesOnToTheNextAgent() {
@@ -149,7 +149,7 @@
     // Both packets under way follow the route, not only the first that is bounced.
     for (const std::uint32_t sequence : {101, 111}) {
       const AgentDecision decision = Bounce(Forward(Data(Flow(1), sequence)));
-      CPPUNIT_ASSERT(decision.verdict == AgentVerdict::kPassOn);
+      CPPUNIT_ASSERT(decision.verdict == AgentVerdict::kForwardToNextAgent);
       CPPUNIT_ASSERT_EQUAL(Node(21), decision.next);
       CPPUNIT_ASSERT_EQUAL(Node(9), decision.route.origin);
       CPPUNIT_ASSERT(decision.route.next == std::vector{Node(22)});
@@ -170,7 +170,7 @@
     StartSearch({Node(21)});
     m_core.Gate().NoteProbe(ProbeResult::kRefused, m_now);
     const AgentDecision decision = Forward(Data(Flow(1), 101));
-    CPPUNIT_ASSERT(decision.verdict == AgentVerdict::kPassOn);
+    CPPUNIT_ASSERT(decision.verdict == AgentVerdict::kForwardToNextAgent);
     CPPUNIT_ASSERT_EQUAL(Node(21), decision.next);
   }
 
--- a/libs/placement/tests/agent_discovery_test.cpp
+++ b/libs/placement/tests/agent_discovery_test.cpp
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT(!m_discovery.TakeNamed(Node(2), At(100)));
     int asked = 1;
     for (int time = 50; time < 20'000; time += 50) {
-      asked += static_cast<int>(m_discovery.TakeQuestions(At(time)).size());
+      asked += static_cast<int>(m_discovery.TakeDueQueries(At(time)).size());
     }
     // Five times within 1.25 s, then it is given up and asked once a second.
     CPPUNIT_ASSERT_EQUAL(5 + 19, asked);
@@ -69,7 +69,7 @@
   void AnAgentThatWasHeardIsAskedNoMore() {
     m_discovery.TakeNamed(Node(2), At(0));
     m_discovery.NoteHeard(Node(2));
-    CPPUNIT_ASSERT(m_discovery.TakeQuestions(At(1000)).empty());
+    CPPUNIT_ASSERT(m_discovery.TakeDueQueries(At(1000)).empty());
   }
 
   void QuestionsAreBoundedInTime() {
@@ -78,19 +78,19 @@
       at_once += m_discovery.TakeNamed(Node(number + 2), At(0)) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{250}, at_once);
-    CPPUNIT_ASSERT(m_discovery.TakeQuestions(At(100)).empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{250}, m_discovery.TakeQuestions(At(250)).size());
+    CPPUNIT_ASSERT(m_discovery.TakeDueQueries(At(100)).empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{250}, m_discovery.TakeDueQueries(At(250)).size());
   }
 
   // Whether it is named again or not: it may be back after a cut.
   void AnAgentGivenUpIsAskedAgainLater() {
     m_discovery.TakeNamed(Node(2), At(0));
     for (int time = 0; time < 5'000; time += 50) {
-      m_discovery.TakeQuestions(At(time));
+      m_discovery.TakeDueQueries(At(time));
     }
     CPPUNIT_ASSERT(m_discovery.IsGivenUp(Node(2)));
     CPPUNIT_ASSERT(!m_discovery.TakeNamed(Node(2), At(5'000)));
-    CPPUNIT_ASSERT(!m_discovery.TakeQuestions(At(6'000)).empty());
+    CPPUNIT_ASSERT(!m_discovery.TakeDueQueries(At(6'000)).empty());
     m_discovery.NoteHeard(Node(2));
     CPPUNIT_ASSERT(!m_discovery.IsGivenUp(Node(2)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_discovery.UnreachableCount());
@@ -103,7 +103,7 @@
     m_discovery.TakeNamed(Node(2), At(0));
     CPPUNIT_ASSERT(!m_discovery.IsComplete(3));  // one more has been named
     for (int time = 0; time < 5'000; time += 50) {
-      m_discovery.TakeQuestions(At(time));
+      m_discovery.TakeDueQueries(At(time));
     }
     CPPUNIT_ASSERT(m_discovery.IsComplete(2));
     CPPUNIT_ASSERT(!m_discovery.IsComplete(1));
@@ -121,12 +121,12 @@
 
   void MoreAgentsAreAskedForFellowsWhileSomeAreMissing() {
     for (int heard = 1; heard <= 4; ++heard) {
-      CPPUNIT_ASSERT(m_discovery.TakeFellowsQuestion(heard));
+      CPPUNIT_ASSERT(m_discovery.TakePeerListQuery(heard));
     }
-    CPPUNIT_ASSERT(!m_discovery.TakeFellowsQuestion(5));
+    CPPUNIT_ASSERT(!m_discovery.TakePeerListQuery(5));
     m_discovery.NoteAgentCount(10);
-    CPPUNIT_ASSERT(m_discovery.TakeFellowsQuestion(6));
-    CPPUNIT_ASSERT(!m_discovery.TakeFellowsQuestion(10));
+    CPPUNIT_ASSERT(m_discovery.TakePeerListQuery(6));
+    CPPUNIT_ASSERT(!m_discovery.TakePeerListQuery(10));
   }
 
   // All balancers were lost together: an agent that outlived them says how many there are.
@@ -164,7 +164,7 @@
       m_core->NoteListed({Node(number), testing::orders_service}, At(100));
     }
     for (int time = 100; time <= 1'600; time += 250) {
-      m_core->Discovery().TakeQuestions(At(time));
+      m_core->Discovery().TakeDueQueries(At(time));
       CPPUNIT_ASSERT_EQUAL(time < 1'350, m_core->IsLearning(At(time)));
     }
     CPPUNIT_ASSERT(!m_core->IsLearning(At(1'600)));
--- a/libs/placement/tests/agent_questions_test.cpp
+++ b/libs/placement/tests/agent_queries_test.cpp
@@ -1,5 +1,5 @@
 // Questions to silent agents, and what they change for a balancer's searches.
-#include "gaugevalve/placement/agent_questions.h"
+#include "gaugevalve/placement/agent_queries.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -28,8 +28,8 @@
 constexpr std::uint32_t kFirstDead = 21;         // Node(21) to Node(30) have lost power
 constexpr std::uint32_t kReportsSeldom = 4'000;  // ms
 
-class AgentQuestionsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(AgentQuestionsTest);
+class AgentQueriesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(AgentQueriesTest);
   CPPUNIT_TEST(AnAgentIsAskedAFewTimesAndThenSeldom);
   CPPUNIT_TEST(AnAnswerEndsTheQuestions);
   CPPUNIT_TEST(AnAnswerIsOverdueAfterAWhile);
@@ -56,7 +56,7 @@
   }
 
   void AnAgentIsAskedAFewTimesAndThenSeldom() {
-    AgentQuestions questions(4);
+    AgentQueries questions(4);
     CPPUNIT_ASSERT(questions.Ask(Node(1), At(0)));
     CPPUNIT_ASSERT(!questions.Ask(Node(1), At(10)));
     for (int time = 250; time <= 750; time += 250) {
@@ -70,7 +70,7 @@
   }
 
   void AnAnswerEndsTheQuestions() {
-    AgentQuestions questions(1);
+    AgentQueries questions(1);
     questions.Ask(Node(1), At(0));
     questions.TakeDue(At(250));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.GivenUpCount());
@@ -80,7 +80,7 @@
   }
 
   void AnAnswerIsOverdueAfterAWhile() {
-    AgentQuestions questions(4);
+    AgentQueries questions(4);
     CPPUNIT_ASSERT(!questions.IsOverdue(Node(1), At(500)));
     questions.Ask(Node(1), At(0));
     CPPUNIT_ASSERT(!questions.IsOverdue(Node(1), At(100)));
@@ -88,7 +88,7 @@
   }
 
   void GoneAgentsAreForgotten() {
-    AgentQuestions questions(1);
+    AgentQueries questions(1);
     questions.Ask(Node(1), At(0));
     questions.Ask(Node(2), At(0));
     questions.TakeDue(At(250));
@@ -215,7 +215,7 @@
     m_core->NoteListed({Node(2), orders_service}, m_now);
     CPPUNIT_ASSERT(VerdictOnUnknownFlow() == BalancerVerdict::kForward);  // it may hold it
     for (int time = 0; time <= 1'250; time += 250) {
-      m_core->Discovery().TakeQuestions(m_now);
+      m_core->Discovery().TakeDueQueries(m_now);
       Pass(250);
     }
     Hear(1);
@@ -317,7 +317,7 @@
   std::uint16_t m_port = 100;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AgentQuestionsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AgentQueriesTest);
 
 }  // namespace
 }  // namespace gaugevalve::placement
--- a/libs/placement/tests/agent_reporter_test.cpp
+++ b/libs/placement/tests/agent_reporter_test.cpp
@@ -72,7 +72,7 @@
       answered += Greet(FellowsQuestion(), balancer, 10).size();
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{100}, answered);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{560}, m_reporter.AnswersLeftOut());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{560}, m_reporter.SuppressedAnswerCount());
   }
 
   void NewsGoToAllBalancers() {
@@ -100,8 +100,8 @@
 
   void AnAgentThatNobodyGreetsIsAlone() {
     Greet({}, 2, 1'000);
-    CPPUNIT_ASSERT(!m_reporter.IsAlone(At(3'400)));
-    CPPUNIT_ASSERT(m_reporter.IsAlone(At(3'600)));
+    CPPUNIT_ASSERT(!m_reporter.HasNoBalancer(At(3'400)));
+    CPPUNIT_ASSERT(m_reporter.HasNoBalancer(At(3'600)));
   }
 
  private:
--- a/libs/placement/tests/balancer_core_test.cpp
+++ b/libs/placement/tests/balancer_core_test.cpp
@@ -457,7 +457,7 @@
     Start();
     Hear(1);
     Send(Opening(Flow(1)));
-    m_core->Agents().NoteLife(Node(1));
+    m_core->Agents().NoteActivity(Node(1));
     m_now += std::chrono::milliseconds(600);
     CPPUNIT_ASSERT_EQUAL(Node(1), Send(Opening(Flow(1))).agent);
   }
--- a/libs/placement/tests/endpoint_gate_test.cpp
+++ b/libs/placement/tests/endpoint_gate_test.cpp
@@ -118,10 +118,10 @@
     m_gate.Announce(Ready("a", 8), At(0));
     Expect(EndpointStanding::kAdmitting, 2000);
     Expect(EndpointStanding::kUnknown, 2001);
-    CPPUNIT_ASSERT(!m_gate.IsCertain());  // a balancer that remembers it would prolong its life
+    CPPUNIT_ASSERT(!m_gate.IsConfirmed());  // a balancer that remembers it would prolong its life
     m_gate.Announce(Ready("a", 9), At(2100));
     Expect(EndpointStanding::kAdmitting, 5000);
-    CPPUNIT_ASSERT(m_gate.IsCertain());
+    CPPUNIT_ASSERT(m_gate.IsConfirmed());
   }
 
   void MissedAnnouncementsMakeItSilent() {
@@ -138,7 +138,7 @@
     }
     Expect(EndpointStanding::kAdmitting, 100);
     Expect(EndpointStanding::kSilent, 200);
-    m_gate.NoteLife(true, At(200));
+    m_gate.NoteActivity(true, At(200));
     Expect(EndpointStanding::kAdmitting, 200);
   }
 
@@ -183,7 +183,7 @@
     HearTwice("b", 0);
     for (const std::uint64_t sequence : {1U, 50U}) {
       const AnnouncementOutcome outcome = m_gate.Announce(Ready("a", sequence), At(100));
-      CPPUNIT_ASSERT(outcome == AnnouncementOutcome::kDoubted);
+      CPPUNIT_ASSERT(outcome == AnnouncementOutcome::kUnconfirmed);
       CPPUNIT_ASSERT_EQUAL(std::string("b"), m_gate.Newest().incarnation.id);
     }
     m_gate.Announce(Draining("b", 3), At(200));
@@ -290,7 +290,7 @@
     m_gate.Announce(Ready("a", 3), At(2000));
     CPPUNIT_ASSERT(!m_gate.MayBeCold(At(2000)));
     m_gate.NoteProbe(ProbeResult::kRefused, At(2100));
-    m_gate.NoteLife(true, At(2200));  // another process may answer now
+    m_gate.NoteActivity(true, At(2200));  // another process may answer now
     CPPUNIT_ASSERT(m_gate.MayBeCold(At(2200)));
     m_gate.Announce({{"a"}, false, 4, milliseconds(500), 4}, At(3000));
     CPPUNIT_ASSERT(m_gate.MayBeCold(At(3400)));
--- a/libs/placement/tests/endpoint_restart_test.cpp
+++ b/libs/placement/tests/endpoint_restart_test.cpp
@@ -80,7 +80,7 @@
     m_gate.Announce(Draining(kSecondStart, 3), At(0));
     for (std::uint64_t sequence = 7; sequence < 12; ++sequence) {
       CPPUNIT_ASSERT(m_gate.Announce(Ready(kFirstStart, sequence), At(100)) ==
-                     AnnouncementOutcome::kDoubted);
+                     AnnouncementOutcome::kUnconfirmed);
       Expect(EndpointStanding::kLeaving, 100);
     }
   }
@@ -90,7 +90,7 @@
     m_gate.Announce({{"b", kSecondStart + 1}, false, 4, milliseconds(0), 1}, At(100));
     m_gate.Announce({{"b", kSecondStart + 1}, true, 4, milliseconds(0), 2}, At(200));
     CPPUNIT_ASSERT(m_gate.Announce(Ready(kFirstStart, 9), At(300)) ==
-                   AnnouncementOutcome::kDoubted);
+                   AnnouncementOutcome::kUnconfirmed);
     Expect(EndpointStanding::kLeaving, 300);
   }
 
@@ -176,7 +176,7 @@
     m_now += milliseconds(900);
     // It starts again 100 ms later and is heard 300 ms after that.
     m_now += milliseconds(400);
-    const EndpointNews news =
+    const AnnouncementResult news =
         m_agent.OnAnnouncement(Ready(kSecondStart, 1), kSecondStart + 300, m_now);
     CPPUNIT_ASSERT(news.is_successor);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, news.dead_flows);
@@ -216,7 +216,7 @@
     Live(kFirstStart);
     OpenAt(1);
     m_now += milliseconds(1000);
-    const EndpointNews news =
+    const AnnouncementResult news =
         m_agent.OnAnnouncement(Ready(kFirstStart, 9), kFirstStart + 3000, m_now);
     CPPUNIT_ASSERT(!news.is_successor);
     CPPUNIT_ASSERT(m_agent.FlowsToReset().TakeBatch().empty());
@@ -225,7 +225,7 @@
   void TheFormerLifesFailuresAreForgotten() {
     Live(kFirstStart);
     for (int count = 0; count < 30; ++count) {
-      m_agent.Outcomes().NoteFailure(m_now);
+      m_agent.OutlierDetection().NoteFailure(m_now);
     }
     CPPUNIT_ASSERT(m_agent.MakeReport(m_now).is_ejected);
     m_now += milliseconds(1000);
--- a/libs/placement/tests/held_addresses_test.cpp
+++ b/libs/placement/tests/held_addresses_test.cpp
@@ -151,10 +151,10 @@
 
   void MoreAddressesThanFitAreSaid() {
     StartAgent(true);
-    for (std::uint16_t number = 0; number <= HeldAddresses::kMost; ++number) {
+    for (std::uint16_t number = 0; number <= HeldAddresses::kMaxAddresses; ++number) {
       Open(number, base::SocketAddress::Ipv4(0xc6120001, 1000 + number));
     }
-    CPPUNIT_ASSERT_EQUAL(HeldAddresses::kMost, Held().addresses.size());
+    CPPUNIT_ASSERT_EQUAL(HeldAddresses::kMaxAddresses, Held().addresses.size());
     CPPUNIT_ASSERT(Held().may_be_more);
   }
 
@@ -164,7 +164,7 @@
     CPPUNIT_ASSERT(Transfer(report).held == report.held);
     report.held = {{other_address}, true};
     CPPUNIT_ASSERT(Transfer(report).held == report.held);
-    report.held.addresses.resize(HeldAddresses::kMost + 1, other_address);
+    report.held.addresses.resize(HeldAddresses::kMaxAddresses + 1, other_address);
     report.held.may_be_more = false;
     CPPUNIT_ASSERT(Transfer(report).held.may_be_more);
   }
--- a/libs/placement/tests/outcome_monitor_test.cpp
+++ b/libs/placement/tests/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/placement/outcome_monitor.h"
+#include "gaugevalve/placement/outlier_detector.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -20,8 +20,8 @@
 using testing::Report;
 using testing::Routes;
 
-class OutcomeMonitorTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(OutcomeMonitorTest);
+class OutlierDetectorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(OutlierDetectorTest);
   CPPUNIT_TEST(SeveralFailuresInARowEject);
   CPPUNIT_TEST(AFewFailuresAmongSuccessesDoNot);
   CPPUNIT_TEST(AnEndpointThatFailsAPartIsEjected);
@@ -336,12 +336,12 @@
     return at_agent;
   }
 
-  OutcomeMonitor m_monitor;
+  OutlierDetector m_monitor;
   base::RandomSource m_random{3};
   std::optional<AgentCore> m_agent;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(OutcomeMonitorTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(OutlierDetectorTest);
 
 }  // namespace
 }  // namespace gaugevalve::placement
--- a/libs/placement/tests/fellow_list_test.cpp
+++ b/libs/placement/tests/peer_agent_list_test.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/placement/fellow_list.h"
+#include "gaugevalve/placement/peer_agent_list.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,8 +15,8 @@
 
 constexpr std::size_t kDatagramLimit = 1'400;  // bytes: no fragments
 
-class FellowListTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FellowListTest);
+class PeerAgentListTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PeerAgentListTest);
   CPPUNIT_TEST(ItListsWhatWasNamedWithoutItself);
   CPPUNIT_TEST(ANameIsListedOnce);
   CPPUNIT_TEST(TheNewestNamesStay);
@@ -39,10 +39,10 @@
   }
 
   void TheNewestNamesStay() {
-    Name(2, 1 + FellowList::kLimit);
+    Name(2, 1 + PeerAgentList::kLimit);
     Name(1'000, 1'010);
     const std::vector<ListedAgent> listed = m_fellows.List();
-    CPPUNIT_ASSERT_EQUAL(FellowList::kLimit, listed.size());
+    CPPUNIT_ASSERT_EQUAL(PeerAgentList::kLimit, listed.size());
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{11},
                          std::count_if(listed.begin(), listed.end(), [](const ListedAgent& agent) {
                            return !(agent.address < Node(1'000));
@@ -71,7 +71,7 @@
         testing::kNodePort);
     CPPUNIT_ASSERT(read);
     const auto& fellows = std::get<AgentReport>(*read).fellows;
-    CPPUNIT_ASSERT_EQUAL(FellowList::kLimit, fellows.size());
+    CPPUNIT_ASSERT_EQUAL(PeerAgentList::kLimit, fellows.size());
     CPPUNIT_ASSERT(fellows.front().address == report.fellows.front().address);
     CPPUNIT_ASSERT(fellows.front().service == report.fellows.front().service);
   }
@@ -99,10 +99,10 @@
     m_fellows.Take(named);
   }
 
-  FellowList m_fellows{Node(1)};
+  PeerAgentList m_fellows{Node(1)};
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FellowListTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PeerAgentListTest);
 
 }  // namespace
 }  // namespace gaugevalve::placement
--- a/libs/requests/include/gaugevalve/requests/hand_over.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over.h
@@ -18,7 +18,7 @@
 namespace gaugevalve::requests {
 
 // What this agent's endpoint could take now, for its announcements.
-struct OwnLoad {
+struct LocalLoad {
   std::uint32_t free_slots = 0;
   std::uint32_t queue_room = 0;
   bool takes_requests = false;
@@ -42,14 +42,14 @@
                             base::TimePoint now);
 
   // Repeats, gives up and announces `load` as due. Call every few tens of milliseconds.
-  HandOverActions OnTimer(const OwnLoad& load, base::TimePoint now);
+  HandOverActions OnTimer(const LocalLoad& load, base::TimePoint now);
 
   HandOverOrigin& Origin() { return origin_; }
   HandOverExecutor& Executor() { return executor_; }
   const PeerLoads& Loads() const { return loads_; }
 
  private:
-  void Announce(const OwnLoad& load, HandOverActions& actions);
+  void Announce(const LocalLoad& load, HandOverActions& actions);
 
   base::NodeId self_;
   base::Incarnation incarnation_;
--- a/libs/requests/include/gaugevalve/requests/hand_over_actions.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_actions.h
@@ -14,13 +14,13 @@
 namespace gaugevalve::requests {
 
 // There is room for more of the request's body.
-struct BodyWanted {};
+struct BodyWritable {};
 
-struct AnswerHeadCame {
+struct AnswerHeadReceived {
   proto::HandOverAnswerHead head;
 };
 
-struct AnswerBytesCame {
+struct AnswerBytesReceived {
   std::string bytes;
 };
 
@@ -28,7 +28,7 @@
 struct AnswerEnded {};
 
 // The answer broke off after its head. Nothing more comes of the request.
-struct AnswerCut {};
+struct AnswerAborted {};
 
 // No answer comes. Nothing more comes of the request.
 struct HandOverRefused {
@@ -38,7 +38,8 @@
 // At the origin: what came of a request that was handed over.
 struct OriginEvent {
   RequestId request;
-  std::variant<BodyWanted, AnswerHeadCame, AnswerBytesCame, AnswerEnded, AnswerCut, HandOverRefused>
+  std::variant<BodyWritable, AnswerHeadReceived, AnswerBytesReceived, AnswerEnded, AnswerAborted,
+               HandOverRefused>
       what;
 };
 
@@ -48,14 +49,14 @@
   base::Duration time_left{0};
 };
 
-struct BodyBytesCame {
+struct BodyBytesReceived {
   std::string bytes;
 };
 
 struct BodyEnded {};
 
 // There is room for more of the answer.
-struct AnswerWanted {};
+struct AnswerWritable {};
 
 // Nobody waits for the run any more: break it off. The core has forgotten it.
 struct RunCancelled {};
@@ -63,7 +64,7 @@
 // At the executor: what concerns a run for another agent.
 struct ExecutorEvent {
   HandOverId run;
-  std::variant<RunOffered, BodyBytesCame, BodyEnded, AnswerWanted, RunCancelled> what;
+  std::variant<RunOffered, BodyBytesReceived, BodyEnded, AnswerWritable, RunCancelled> what;
 };
 
 // What is to be done after one event, each list in its order.
--- a/libs/requests/include/gaugevalve/requests/hand_over_executor.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_executor.h
@@ -35,13 +35,13 @@
               HandOverActions& actions);
 
   // The answer, in this order: head, bytes, then end or cut. WriteAnswer() returns false when it
-  // should be the last until AnswerWanted.
+  // should be the last until AnswerWritable.
   void BeginAnswer(const HandOverId& run, const proto::HandOverAnswerHead& head,
                    base::TimePoint now, HandOverActions& actions);
   bool WriteAnswer(const HandOverId& run, std::string_view bytes, base::TimePoint now,
                    HandOverActions& actions);
   void EndAnswer(const HandOverId& run, base::TimePoint now, HandOverActions& actions);
-  void CutAnswer(const HandOverId& run, base::TimePoint now, HandOverActions& actions);
+  void AbortAnswer(const HandOverId& run, base::TimePoint now, HandOverActions& actions);
 
   // Stops the request's body, or lets it go on; what has credit still comes.
   void SetBodyPaused(const HandOverId& run, bool is_paused, HandOverActions& actions);
--- a/libs/requests/include/gaugevalve/requests/hand_over_origin.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_origin.h
@@ -27,8 +27,8 @@
   bool was_handed_over = false;
 };
 
-// Requests handed over by this agent. Each taken one ends by exactly one of AnswerEnded, AnswerCut
-// and HandOverRefused, or by Cancel().
+// Requests handed over by this agent. Each taken one ends by exactly one of AnswerEnded,
+// AnswerAborted and HandOverRefused, or by Cancel().
 //
 // "Not run" is only said when the peer said so, before a byte reached its endpoint, and no other
 // peer takes the request; a peer that falls silent, starts anew or has forgotten the request leaves
@@ -48,7 +48,8 @@
   bool Offer(const HandOverRequest& request, HandOverNeed need, base::TimePoint now,
              HandOverActions& actions);
 
-  // Takes a part of the request's body. Returns false when it should be the last until BodyWanted.
+  // Takes a part of the request's body. Returns false when it should be the last until
+  // BodyWritable.
   bool WriteBody(RequestId id, std::string_view bytes, base::TimePoint now,
                  HandOverActions& actions);
   void FinishBody(RequestId id, base::TimePoint now, HandOverActions& actions);
@@ -70,7 +71,7 @@
   void OnTimer(base::TimePoint now, HandOverActions& actions);
 
   std::size_t Size() const { return exchanges_.size(); }
-  bool Knows(RequestId id) const { return exchanges_.contains(id); }
+  bool Contains(RequestId id) const { return exchanges_.contains(id); }
 
  private:
   struct Exchange {
--- a/libs/requests/include/gaugevalve/requests/peer_loads.h
+++ b/libs/requests/include/gaugevalve/requests/peer_loads.h
@@ -33,7 +33,8 @@
 };
 
 // Returns why the request should run elsewhere, or nothing when it stays.
-std::optional<HandOverNeed> NeedOf(const LocalSituation& situation, const HandOverLimits& limits);
+std::optional<HandOverNeed> FindHandOverNeed(const LocalSituation& situation,
+                                             const HandOverLimits& limits);
 
 // An agent that a request is handed over to.
 struct ChosenPeer {
--- a/libs/requests/include/gaugevalve/requests/request_pipeline.h
+++ b/libs/requests/include/gaugevalve/requests/request_pipeline.h
@@ -23,7 +23,7 @@
 };
 
 // A request whose head (and, where it is keyed, body) has come.
-struct ArrivedRequest {
+struct IncomingRequest {
   RequestId id;
   bool is_stream = false;  // a long-lived event stream: holds a connection, not a slot
   std::optional<RequestKey> key;
@@ -32,12 +32,12 @@
 };
 
 // How an exchange with the endpoint ended.
-enum class EndpointEnd : std::uint8_t {
-  kAnswered,  // a whole answer
-  kRefused,   // a whole answer which says that the request was not run
-  kNotSent,   // no connection: no byte left this agent, and it can be sent again
-  kBodyGone,  // no byte left this agent either, but parts of the body can't be had again
-  kFailed,    // broken off after the first byte
+enum class EndpointResult : std::uint8_t {
+  kAnswered,           // a whole answer
+  kRefused,            // a whole answer which says that the request was not run
+  kNotSent,            // no connection: no byte left this agent, and it can be sent again
+  kBodyNotReplayable,  // no byte left this agent either, but parts of the body can't be had again
+  kFailed,             // broken off after the first byte
 };
 
 // What a pipeline is made of.
@@ -52,7 +52,7 @@
 };
 
 // What to do after one event. Each request gets exactly one of refused, repeated or a start whose
-// end is then told by EndAtEndpoint() or Cancel().
+// end is then told by FinishAtEndpoint() or Cancel().
 struct PipelineActions {
   std::vector<RequestId> start;           // send it to the endpoint
   std::vector<RequestId> abandon;         // break off the exchange; its refusal is in `refused`
@@ -68,17 +68,17 @@
   RequestPipeline(const PipelineSettings& settings, base::RandomSource& random, base::TimePoint now,
                   base::Duration wall_time);
 
-  PipelineActions Arrive(const ArrivedRequest& request, base::TimePoint now);
+  PipelineActions AddRequest(const IncomingRequest& request, base::TimePoint now);
 
   // The answer's head has gone to the caller: from now on the deadline doesn't cut it short.
-  void AnswerBegan(RequestId id);
+  void MarkAnswerBegun(RequestId id);
 
   // The answer turned out to be a long-lived event stream: it gives its slot back.
-  PipelineActions BecameStream(RequestId id, base::TimePoint now);
+  PipelineActions MarkAsStream(RequestId id, base::TimePoint now);
 
   // An exchange ended. `answer` is kept for repeats of a keyed request.
-  PipelineActions EndAtEndpoint(RequestId id, EndpointEnd end, const StoredAnswer& answer,
-                                base::TimePoint now);
+  PipelineActions FinishAtEndpoint(RequestId id, EndpointResult end, const StoredAnswer& answer,
+                                   base::TimePoint now);
 
   // The caller gave the request up; where it was started, its exchange is being broken off.
   PipelineActions Cancel(RequestId id, base::TimePoint now);
@@ -103,7 +103,7 @@
   const AdmissionQueue& Admission() const { return admission_; }
 
   // Returns whether the request has not ended yet.
-  bool Knows(RequestId id) const { return requests_.contains(id); }
+  bool Contains(RequestId id) const { return requests_.contains(id); }
 
  private:
   enum class Stage : std::uint8_t { kAwaitingPermit, kWaiting, kRunning, kStreaming };
@@ -116,7 +116,7 @@
     bool has_answer_begun = false;
   };
 
-  void OpenStream(const ArrivedRequest& request, PipelineActions& actions);
+  void OpenStream(const IncomingRequest& request, PipelineActions& actions);
   void Admit(Request& request, base::TimePoint now, PipelineActions& actions);
   void Take(const AdmissionActions& admitted, base::TimePoint now, PipelineActions& actions);
   void Take(AtMostOnceActions keyed, base::TimePoint now, PipelineActions& actions);
--- a/libs/requests/src/hand_over.cpp
+++ b/libs/requests/src/hand_over.cpp
@@ -55,7 +55,7 @@
   return actions;
 }
 
-HandOverActions HandOver::OnTimer(const OwnLoad& load, base::TimePoint now) {
+HandOverActions HandOver::OnTimer(const LocalLoad& load, base::TimePoint now) {
   HandOverActions actions;
   origin_.OnTimer(now, actions);
   executor_.OnTimer(now, actions);
@@ -68,7 +68,7 @@
   return actions;
 }
 
-void HandOver::Announce(const OwnLoad& load, HandOverActions& actions) {
+void HandOver::Announce(const LocalLoad& load, HandOverActions& actions) {
   const std::vector<routing::AgentEntry>& agents = table_->agents;
   const std::size_t count = std::min(agents.size(), limits_.announced_peers + 1);
   for (std::size_t told = 0; told < count; ++told) {
--- a/libs/requests/src/hand_over_executor.cpp
+++ b/libs/requests/src/hand_over_executor.cpp
@@ -24,7 +24,7 @@
   return frame;
 }
 
-proto::HandOverFrame CutFrame() {
+proto::HandOverFrame AbortFrame() {
   proto::HandOverFrame frame;
   frame.set_cut(true);
   return frame;
@@ -131,7 +131,7 @@
     SendAnswer(id, run, now, actions);
     if (run.waits_for_room && run.answer.HasRoom()) {
       run.waits_for_room = false;
-      actions.executor.push_back({KeyOf(id), AnswerWanted{}});
+      actions.executor.push_back({KeyOf(id), AnswerWritable{}});
     }
   }
 }
@@ -144,7 +144,7 @@
   if (frame.has_end()) {
     actions.executor.push_back({id, BodyEnded{}});
   } else {
-    actions.executor.push_back({id, BodyBytesCame{frame.bytes()}});
+    actions.executor.push_back({id, BodyBytesReceived{frame.bytes()}});
   }
 }
 
@@ -175,7 +175,7 @@
     return;
   }
   if (found->has_answer_begun) {
-    Finish(run, *found, CutFrame(), now, actions);
+    Finish(run, *found, AbortFrame(), now, actions);
     return;
   }
   found->was_refused = refusal.outcome == RequestOutcome::kNotRun;
@@ -224,11 +224,11 @@
   }
 }
 
-void HandOverExecutor::CutAnswer(const HandOverId& run, base::TimePoint now,
-                                 HandOverActions& actions) {
+void HandOverExecutor::AbortAnswer(const HandOverId& run, base::TimePoint now,
+                                   HandOverActions& actions) {
   Run* const found = Find(run);
   if (found != nullptr && !found->has_ended) {
-    Finish(run, *found, CutFrame(), now, actions);
+    Finish(run, *found, AbortFrame(), now, actions);
   }
 }
 
--- a/libs/requests/src/hand_over_origin.cpp
+++ b/libs/requests/src/hand_over_origin.cpp
@@ -172,7 +172,7 @@
     SendBody(*exchange, now, actions);
     if (exchange->waits_for_room && exchange->body.HasRoom()) {
       exchange->waits_for_room = false;
-      actions.origin.push_back({exchange->request.id, BodyWanted{}});
+      actions.origin.push_back({exchange->request.id, BodyWritable{}});
     }
   }
 }
@@ -198,9 +198,9 @@
     OnRefusal(exchange, DecodeRefusal(frame.refusal()), now, actions);
   } else if (frame.has_head() && is_first) {
     exchange.has_answer_begun = true;
-    actions.origin.push_back({id, AnswerHeadCame{frame.head()}});
+    actions.origin.push_back({id, AnswerHeadReceived{frame.head()}});
   } else if (frame.has_bytes() && !is_first) {
-    actions.origin.push_back({id, AnswerBytesCame{frame.bytes()}});
+    actions.origin.push_back({id, AnswerBytesReceived{frame.bytes()}});
   } else if (frame.has_end() && !is_first) {
     actions.origin.push_back({id, AnswerEnded{}});
     End(id, actions);
@@ -231,7 +231,7 @@
 void HandOverOrigin::OnLost(Exchange& exchange, base::TimePoint now, HandOverActions& actions) {
   const RequestId id = exchange.request.id;
   if (exchange.has_answer_begun) {
-    actions.origin.push_back({id, AnswerCut{}});
+    actions.origin.push_back({id, AnswerAborted{}});
     End(id, actions);
     return;
   }
--- a/libs/requests/src/peer_loads.cpp
+++ b/libs/requests/src/peer_loads.cpp
@@ -4,7 +4,8 @@
 
 namespace gaugevalve::requests {
 
-std::optional<HandOverNeed> NeedOf(const LocalSituation& situation, const HandOverLimits& limits) {
+std::optional<HandOverNeed> FindHandOverNeed(const LocalSituation& situation,
+                                             const HandOverLimits& limits) {
   const bool was_moved = situation.was_handed_over && limits.mechanisms.bound_hops;
   if (was_moved || situation.is_stream) {
     return std::nullopt;
--- a/libs/requests/src/request_pipeline.cpp
+++ b/libs/requests/src/request_pipeline.cpp
@@ -10,22 +10,22 @@
   to.insert(to.end(), std::make_move_iterator(from.begin()), std::make_move_iterator(from.end()));
 }
 
-Refusal RefusalOf(EndpointEnd end) {
-  if (end == EndpointEnd::kNotSent || end == EndpointEnd::kBodyGone) {
+Refusal RefusalOf(EndpointResult end) {
+  if (end == EndpointResult::kNotSent || end == EndpointResult::kBodyNotReplayable) {
     return {RequestOutcome::kNotRun, RefusalReason::kEndpointDown, std::chrono::seconds(1)};
   }
   return {RequestOutcome::kOutcomeUnknown, RefusalReason::kEndpointFailed, base::Duration(0)};
 }
 
-ExecutionState StateOf(EndpointEnd end) {
+ExecutionState StateOf(EndpointResult end) {
   switch (end) {
-    case EndpointEnd::kAnswered:
+    case EndpointResult::kAnswered:
       return ExecutionState::kAnswered;
-    case EndpointEnd::kRefused:
-    case EndpointEnd::kNotSent:
-    case EndpointEnd::kBodyGone:
+    case EndpointResult::kRefused:
+    case EndpointResult::kNotSent:
+    case EndpointResult::kBodyNotReplayable:
       return ExecutionState::kNotRun;
-    case EndpointEnd::kFailed:
+    case EndpointResult::kFailed:
       return ExecutionState::kUnknown;
   }
   return ExecutionState::kUnknown;
@@ -40,7 +40,7 @@
       at_most_once_(settings.self, settings.incarnation, settings.at_most_once, now, wall_time),
       retry_budget_(settings.retry_share, settings.retry_burst) {}
 
-PipelineActions RequestPipeline::Arrive(const ArrivedRequest& arrived, base::TimePoint now) {
+PipelineActions RequestPipeline::AddRequest(const IncomingRequest& arrived, base::TimePoint now) {
   PipelineActions actions;
   if (arrived.is_stream) {
     OpenStream(arrived, actions);
@@ -68,7 +68,7 @@
   return actions;
 }
 
-void RequestPipeline::OpenStream(const ArrivedRequest& arrived, PipelineActions& actions) {
+void RequestPipeline::OpenStream(const IncomingRequest& arrived, PipelineActions& actions) {
   const std::optional<Refusal> refusal = admission_.OpenStream(arrived.id);
   if (refusal) {
     actions.refused.push_back({arrived.id, *refusal});
@@ -123,14 +123,14 @@
   }
 }
 
-void RequestPipeline::AnswerBegan(RequestId id) {
+void RequestPipeline::MarkAnswerBegun(RequestId id) {
   const auto found = requests_.find(id);
   if (found != requests_.end()) {
     found->second.has_answer_begun = true;
   }
 }
 
-PipelineActions RequestPipeline::BecameStream(RequestId id, base::TimePoint now) {
+PipelineActions RequestPipeline::MarkAsStream(RequestId id, base::TimePoint now) {
   PipelineActions actions;
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second.stage != Stage::kRunning) {
@@ -143,16 +143,16 @@
   return actions;
 }
 
-PipelineActions RequestPipeline::EndAtEndpoint(RequestId id, EndpointEnd end,
-                                               const StoredAnswer& answer, base::TimePoint now) {
+PipelineActions RequestPipeline::FinishAtEndpoint(RequestId id, EndpointResult end,
+                                                  const StoredAnswer& answer, base::TimePoint now) {
   PipelineActions actions;
   const auto found = requests_.find(id);
   if (found == requests_.end()) {
     return actions;
   }
   Request request = found->second;
-  const bool whole = end == EndpointEnd::kAnswered || end == EndpointEnd::kRefused;
-  if (end == EndpointEnd::kNotSent && Retry(found->second, now, actions)) {
+  const bool whole = end == EndpointResult::kAnswered || end == EndpointResult::kRefused;
+  if (end == EndpointResult::kNotSent && Retry(found->second, now, actions)) {
     return actions;
   }
   requests_.erase(id);
@@ -162,7 +162,7 @@
   if (request.is_keyed) {
     EndKeyed(id, StateOf(end), answer, now, actions);
   }
-  LeaveSlot(request, end == EndpointEnd::kAnswered, now, actions);
+  LeaveSlot(request, end == EndpointResult::kAnswered, now, actions);
   return actions;
 }
 
--- a/libs/requests/tests/hand_over_test.cpp
+++ b/libs/requests/tests/hand_over_test.cpp
@@ -114,7 +114,8 @@
     executor_->Executor().EndAnswer(run, now_, answer);
     Perform(kExecutor, answer);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, at_origin_.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("done"), std::get<AnswerBytesCame>(at_origin_[1].what).bytes);
+    CPPUNIT_ASSERT_EQUAL(std::string("done"),
+                         std::get<AnswerBytesReceived>(at_origin_[1].what).bytes);
     CPPUNIT_ASSERT(std::holds_alternative<AnswerEnded>(at_origin_[2].what));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, executor_->Executor().Size());
   }
@@ -208,13 +209,13 @@
   void OnlyNeedMovesARequest() {
     const HandOverLimits limits;
     LocalSituation situation;
-    CPPUNIT_ASSERT(!NeedOf(situation, limits));
+    CPPUNIT_ASSERT(!FindHandOverNeed(situation, limits));
     situation.estimated_wait = limits.longest_wait + milliseconds(1);
-    CPPUNIT_ASSERT(NeedOf(situation, limits) == HandOverNeed::kShorterWait);
+    CPPUNIT_ASSERT(FindHandOverNeed(situation, limits) == HandOverNeed::kShorterWait);
     situation.is_draining = true;
-    CPPUNIT_ASSERT(NeedOf(situation, limits) == HandOverNeed::kCannotRunHere);
+    CPPUNIT_ASSERT(FindHandOverNeed(situation, limits) == HandOverNeed::kCannotRunHere);
     situation.was_handed_over = true;
-    CPPUNIT_ASSERT(!NeedOf(situation, limits));
+    CPPUNIT_ASSERT(!FindHandOverNeed(situation, limits));
   }
 
   void MalformedMessagesAreRefused() {
--- a/libs/requests/tests/request_pipeline_test.cpp
+++ b/libs/requests/tests/request_pipeline_test.cpp
@@ -48,51 +48,51 @@
   }
 
   void KeyedRequestTakesASlotOnlyAfterItsPermit() {
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Arrive(1, 7).start.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, AddRequest(1, 7).start.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pipeline_->Admission().RunningCount());
-    const PipelineActions repeat = Arrive(2, 7);
+    const PipelineActions repeat = AddRequest(2, 7);
     CPPUNIT_ASSERT(repeat.refused.at(0).refusal.reason == RefusalReason::kKeyInProgress);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pipeline_->Admission().WaitingCount());
   }
 
   void RepeatIsAnsweredWithoutTheEndpoint() {
-    Arrive(1, 7);
-    End(1, EndpointEnd::kAnswered);
-    const PipelineActions repeat = Arrive(2, 7);
+    AddRequest(1, 7);
+    End(1, EndpointResult::kAnswered);
+    const PipelineActions repeat = AddRequest(2, 7);
     CPPUNIT_ASSERT(repeat.start.empty());
     CPPUNIT_ASSERT_EQUAL(201, repeat.repeated.at(0).answer.status);
   }
 
   void KeyOfARefusedRequestMayRunLater() {
-    Arrive(1);
-    Arrive(2);
-    CPPUNIT_ASSERT(Arrive(3, 7).refused.at(0).refusal.outcome == RequestOutcome::kNotRun);
-    End(1, EndpointEnd::kAnswered);
-    End(2, EndpointEnd::kAnswered);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Arrive(4, 7).start.size());
+    AddRequest(1);
+    AddRequest(2);
+    CPPUNIT_ASSERT(AddRequest(3, 7).refused.at(0).refusal.outcome == RequestOutcome::kNotRun);
+    End(1, EndpointResult::kAnswered);
+    End(2, EndpointResult::kAnswered);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, AddRequest(4, 7).start.size());
   }
 
   void UnsentRequestIsRetriedOnceWithinTheBudget() {
-    Arrive(1);
-    CPPUNIT_ASSERT(End(1, EndpointEnd::kNotSent).refused.at(0).refusal.outcome ==
+    AddRequest(1);
+    CPPUNIT_ASSERT(End(1, EndpointResult::kNotSent).refused.at(0).refusal.outcome ==
                    RequestOutcome::kNotRun);  // half a retry was earned
-    Arrive(2);
-    CPPUNIT_ASSERT(End(2, EndpointEnd::kNotSent).start == std::vector<RequestId>{RequestId(2)});
-    const PipelineActions again = End(2, EndpointEnd::kNotSent);
+    AddRequest(2);
+    CPPUNIT_ASSERT(End(2, EndpointResult::kNotSent).start == std::vector<RequestId>{RequestId(2)});
+    const PipelineActions again = End(2, EndpointResult::kNotSent);
     CPPUNIT_ASSERT(again.start.empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, again.refused.size());
   }
 
   void BrokenExchangeIsNeverRetried() {
-    Arrive(1);
-    Arrive(2);
-    const PipelineActions actions = End(1, EndpointEnd::kFailed);
+    AddRequest(1);
+    AddRequest(2);
+    const PipelineActions actions = End(1, EndpointResult::kFailed);
     CPPUNIT_ASSERT(actions.refused.at(0).refusal.outcome == RequestOutcome::kOutcomeUnknown);
     CPPUNIT_ASSERT(actions.start == std::vector<RequestId>{RequestId(2)});
   }
 
   void OverdueRequestIsGivenUpAtOnce() {
-    Arrive(1, 7);
+    AddRequest(1, 7);
     now_ += seconds(10);
     const PipelineActions actions = pipeline_->OnTimer(now_);
     CPPUNIT_ASSERT(actions.abandon == std::vector<RequestId>{RequestId(1)});
@@ -101,55 +101,55 @@
   }
 
   void AnswerThatHasBegunIsNotCutByItsDeadline() {
-    Arrive(1);
-    pipeline_->AnswerBegan(RequestId(1));
+    AddRequest(1);
+    pipeline_->MarkAnswerBegun(RequestId(1));
     now_ += seconds(60);
     CPPUNIT_ASSERT(pipeline_->OnTimer(now_).abandon.empty());
   }
 
   void CancelledKeyedRequestLeavesItsOutcomeUnknown() {
-    Arrive(1, 7);
+    AddRequest(1, 7);
     pipeline_->Cancel(RequestId(1), now_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pipeline_->Admission().RunningCount());
-    const PipelineActions repeat = Arrive(2, 7);
+    const PipelineActions repeat = AddRequest(2, 7);
     CPPUNIT_ASSERT(repeat.start.empty());
     CPPUNIT_ASSERT(repeat.refused.at(0).refusal.outcome == RequestOutcome::kOutcomeUnknown);
   }
 
   void StreamOutlivesADrain() {
-    ArrivedRequest stream;
+    IncomingRequest stream;
     stream.id = RequestId(1);
     stream.is_stream = true;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pipeline_->Arrive(stream, now_).start.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pipeline_->AddRequest(stream, now_).start.size());
     pipeline_->SetDraining(true);
     now_ += seconds(3600);
     CPPUNIT_ASSERT(pipeline_->OnTimer(now_).abandon.empty());
-    CPPUNIT_ASSERT(Arrive(2).refused.at(0).refusal.reason == RefusalReason::kDraining);
+    CPPUNIT_ASSERT(AddRequest(2).refused.at(0).refusal.reason == RefusalReason::kDraining);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pipeline_->Admission().StreamCount());
   }
 
   void AnswerThatIsAStreamGivesItsSlotBack() {
-    Arrive(1);
-    CPPUNIT_ASSERT(Arrive(2).start.empty());
-    const PipelineActions actions = pipeline_->BecameStream(RequestId(1), now_);
+    AddRequest(1);
+    CPPUNIT_ASSERT(AddRequest(2).start.empty());
+    const PipelineActions actions = pipeline_->MarkAsStream(RequestId(1), now_);
     CPPUNIT_ASSERT(actions.start == std::vector<RequestId>{RequestId(2)});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, pipeline_->Admission().StreamCount());
-    End(1, EndpointEnd::kAnswered);
+    End(1, EndpointResult::kAnswered);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pipeline_->Admission().StreamCount());
   }
 
  private:
-  PipelineActions Arrive(std::uint64_t id, std::optional<std::uint64_t> key = std::nullopt) {
-    ArrivedRequest request;
+  PipelineActions AddRequest(std::uint64_t id, std::optional<std::uint64_t> key = std::nullopt) {
+    IncomingRequest request;
     request.id = RequestId(id);
     if (key) {
       request.key = RequestKey{{*key, *key}, 1, now_.time_since_epoch()};
     }
-    return pipeline_->Arrive(request, now_);
+    return pipeline_->AddRequest(request, now_);
   }
 
-  PipelineActions End(std::uint64_t id, EndpointEnd end) {
-    return pipeline_->EndAtEndpoint(RequestId(id), end, {201, "text/plain", "done"}, now_);
+  PipelineActions End(std::uint64_t id, EndpointResult end) {
+    return pipeline_->FinishAtEndpoint(RequestId(id), end, {201, "text/plain", "done"}, now_);
   }
 
   base::RandomSource random_{kSeed};
--- a/libs/routing/include/gaugevalve/routing/agent_report.h
+++ b/libs/routing/include/gaugevalve/routing/agent_report.h
@@ -40,14 +40,14 @@
   base::Duration busy_slot_time{0};
   base::Duration measured_time{0};
   base::Duration recent_latency{0};             // smoothed time of an answer at the endpoint
-  base::Duration age_of_service{0};             // since the endpoint last started: cold-start ramp
+  base::Duration endpoint_uptime{0};            // since the endpoint last started: cold-start ramp
   std::uint32_t endpoint_failures = 0;          // since the last report
   std::vector<std::uint32_t> flows_in_buckets;  // index = bucket; open flows held here
 
   // Grows with each report of a life; 0: not numbered. Travels outside the report's bytes.
   std::uint64_t sequence = 0;
   // Above 0: `flows_in_buckets` is empty, and `flow_changes` is what may have changed since the
-  // report with this number. See FlowDigest.
+  // report with this number. See FlowCountEncoder.
   std::uint64_t flows_base = 0;
   std::vector<BucketFlows> flow_changes{};
 };
--- a/libs/routing/include/gaugevalve/routing/agent_status.h
+++ b/libs/routing/include/gaugevalve/routing/agent_status.h
@@ -8,7 +8,7 @@
 namespace gaugevalve::routing {
 
 // Whether an agent may own buckets.
-enum class AgentStanding : std::uint8_t {
+enum class AgentLiveness : std::uint8_t {
   kLive = 0,     // owns buckets and opens flows
   kLeaving = 1,  // keeps its flows, gets no new ones
   kDead = 2,     // declared dead; may still run unseen
@@ -17,7 +17,7 @@
 // One agent of a service as membership and settings know it.
 struct AgentStatus {
   AgentEntry entry;
-  AgentStanding standing = AgentStanding::kLive;
+  AgentLiveness liveness = AgentLiveness::kLive;
   double weight = 1.0;                 // share of new flows relative to others; 0 gets none
   std::uint32_t flow_capacity = 2000;  // open flows it can hold
 
--- a/libs/routing/include/gaugevalve/routing/dead_agent_hold.h
+++ b/libs/routing/include/gaugevalve/routing/dead_agent_hold.h
@@ -23,7 +23,7 @@
   void NoteAnswered(base::NodeId node, base::Incarnation incarnation, base::TimePoint now);
 
   // Notes that this life of the agent has ended for sure: it needs no wait.
-  void NoteFarewell(base::NodeId node, base::Incarnation incarnation);
+  void NoteGracefulLeave(base::NodeId node, base::Incarnation incarnation);
 
   // Takes the service's agents; `former` are those that the table lists. Of these the ones that are
   // missing now are held, and all that are dead: a table that was taken over needn't list them. One
--- a/libs/routing/include/gaugevalve/routing/flow_digest.h
+++ b/libs/routing/include/gaugevalve/routing/flow_count_encoder.h
@@ -11,14 +11,14 @@
 namespace gaugevalve::routing {
 
 // What a planner did with the flows of a report.
-enum class FlowsOutcome : std::uint8_t {
-  kTaken = 0,
-  kRefused = 1,     // the report was older than another, say
-  kNeedsWhole = 2,  // the planner has nothing that a report could build on
+enum class FlowCountsOutcome : std::uint8_t {
+  kAccepted = 0,
+  kRefused = 1,          // the report was older than another, say
+  kNeedsFullReport = 2,  // the planner has nothing that a report could build on
 };
 
-// The rules of FlowDigest; proofs switch one off to show that they would notice.
-struct FlowDigestMechanisms {
+// The rules of FlowCountEncoder; proofs switch one off to show that they would notice.
+struct FlowCountEncoderMechanisms {
   bool repeat_unanswered = true;  // buckets that a report named whose answer hasn't come
 };
 
@@ -30,18 +30,18 @@
 //
 // Planners use counts above 0 for order only; whether a bucket is empty is exact. Memory: the
 // counts as sent in the last kRemembered reports. Pure and not thread-safe.
-class FlowDigest {
+class FlowCountEncoder {
  public:
   // Unanswered reports after which the next is a whole one.
   static constexpr std::size_t kRemembered = 8;
 
-  void SetMechanisms(const FlowDigestMechanisms& mechanisms) { mechanisms_ = mechanisms; }
+  void SetMechanisms(const FlowCountEncoderMechanisms& mechanisms) { mechanisms_ = mechanisms; }
 
   // Shortens the report, which is whole and has its number. Numbers grow by one with each call.
-  void Shorten(AgentReport& report);
+  void EncodeChanges(AgentReport& report);
 
   // Takes the answer to the report with this number.
-  void TakeAnswer(std::uint64_t sequence, FlowsOutcome outcome);
+  void HandleAnswer(std::uint64_t sequence, FlowCountsOutcome outcome);
 
   // Forgets what was sent: the next report is whole. To be called when the planner changes.
   void Reset();
@@ -56,7 +56,7 @@
   bool WasNamedSinceBase(std::size_t bucket) const;
   Sent& Slot(std::uint64_t sequence) { return sent_[sequence % kRemembered]; }
 
-  FlowDigestMechanisms mechanisms_;
+  FlowCountEncoderMechanisms mechanisms_;
   Sent base_;  // the newest that the planner is known to have taken; sequence 0: none
   std::array<Sent, kRemembered> sent_{};
 };
--- a/libs/routing/include/gaugevalve/routing/report_ledger.h
+++ b/libs/routing/include/gaugevalve/routing/report_ledger.h
@@ -15,14 +15,14 @@
 
 // What became of a report.
 enum class ReportOutcome : std::uint8_t {
-  kTaken = 0,
+  kAccepted = 0,
   kWrongService = 1,
   kUnknownAgent = 2,      // not among the service's agents
   kOtherIncarnation = 3,  // another life of the agent than membership knows
   kOlderThanKnown = 4,    // names an older table than an earlier report of the same life
   kFutureTable = 5,       // names a table newer than the planner's own: the planner is superseded
   kWrongBucketCount = 6,  // neither empty nor one count for each bucket, or a bucket isn't there
-  kNeedsWhole = 7,        // builds on a report that isn't known: a whole one is needed
+  kNeedsFullReport = 7,   // builds on a report that isn't known: a whole one is needed
 };
 
 // Keeps one report for each known agent: bounded by the service's agents. Reports are the agents'
@@ -34,7 +34,7 @@
   ReportLedger(base::Duration smoothing_time, base::Duration report_timeout);
 
   // Keeps the report of `status`'s agent. The caller has checked service, incarnation and sizes.
-  // Returns kTaken, kOlderThanKnown or kNeedsWhole.
+  // Returns kAccepted, kOlderThanKnown or kNeedsFullReport.
   ReportOutcome Take(const AgentReport& report, base::TimePoint now);
 
   // Forgets all agents for which `keep(node, incarnation)` is false.
--- a/libs/routing/include/gaugevalve/routing/service_planner.h
+++ b/libs/routing/include/gaugevalve/routing/service_planner.h
@@ -99,7 +99,7 @@
   void SetAgents(std::vector<AgentStatus> agents, base::TimePoint now);
 
   // Takes an agent's report.
-  ReportOutcome TakeReport(const AgentReport& report, base::TimePoint now);
+  ReportOutcome HandleReport(const AgentReport& report, base::TimePoint now);
 
   // Tells whether a report with this outcome may be answered. The answer lets the agent open flows
   // for a while, so no agent that was declared dead gets one, nor any by a superseded planner.
@@ -110,7 +110,7 @@
   void NoteAnswered(base::NodeId node, base::Incarnation incarnation, base::TimePoint now);
 
   // Notes that this life of an agent said farewell, before SetAgents() leaves it out.
-  void NoteFarewell(base::NodeId node, base::Incarnation incarnation);
+  void NoteGracefulLeave(base::NodeId node, base::Incarnation incarnation);
 
   // Decides what changes at `now`. Call it after events and at least once a step interval. Returns
   // the delta to spread; table() already has it applied.
--- a/libs/routing/src/cold_start_ramp.cpp
+++ b/libs/routing/src/cold_start_ramp.cpp
@@ -7,7 +7,7 @@
 void ColdStartRamp::Adjust(std::span<const AgentView> agents, base::TimePoint /*now*/,
                            std::span<double> shares) {
   for (std::size_t position = 0; position < agents.size(); ++position) {
-    shares[position] *= FractionAt(agents[position].age_of_service);
+    shares[position] *= FractionAt(agents[position].endpoint_uptime);
   }
 }
 
--- a/libs/routing/src/dead_agent_hold.cpp
+++ b/libs/routing/src/dead_agent_hold.cpp
@@ -15,7 +15,7 @@
 // Tells whether the status says that this life of the agent may still run, unknown to others.
 bool MayRunUnseen(const AgentEntry& agent, const AgentStatus* status) {
   const bool other_life = status != nullptr && status->entry.incarnation != agent.incarnation;
-  const bool is_there = status != nullptr && status->standing != AgentStanding::kDead;
+  const bool is_there = status != nullptr && status->liveness != AgentLiveness::kDead;
   return !other_life && !is_there;
 }
 
@@ -26,7 +26,7 @@
   answers_[node] = {incarnation, now};
 }
 
-void DeadAgentHold::NoteFarewell(base::NodeId node, base::Incarnation incarnation) {
+void DeadAgentHold::NoteGracefulLeave(base::NodeId node, base::Incarnation incarnation) {
   ended_[node] = incarnation;
   const auto held = held_.find(node);
   if (held != held_.end() && HasEnded(held->second.entry)) {
@@ -53,7 +53,7 @@
   });
   std::vector<AgentEntry> known = former;
   for (const AgentStatus& status : agents) {
-    if (status.standing == AgentStanding::kDead) {
+    if (status.liveness == AgentLiveness::kDead) {
       known.push_back(status.entry);
     }
   }
@@ -71,7 +71,7 @@
       return agent.node == entry.first && agent.incarnation <= entry.second;
     });
     const AgentStatus* status = FindNode(agents, entry.first);
-    const bool is_back = status != nullptr && status->standing != AgentStanding::kDead;
+    const bool is_back = status != nullptr && status->liveness != AgentLiveness::kDead;
     return is_back || !is_known;
   });
 }
--- a/libs/routing/src/flow_digest.cpp
+++ b/libs/routing/src/flow_count_encoder.cpp
@@ -1,4 +1,4 @@
-#include "gaugevalve/routing/flow_digest.h"
+#include "gaugevalve/routing/flow_count_encoder.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void FlowDigest::Shorten(AgentReport& report) {
+void FlowCountEncoder::EncodeChanges(AgentReport& report) {
   const std::vector<std::uint32_t> flows = std::exchange(report.flows_in_buckets, {});
   const bool is_remembered = base_.sequence > 0 && report.sequence - base_.sequence < kRemembered;
   if (!is_remembered || base_.flows.size() != flows.size()) {
@@ -36,30 +36,30 @@
   Slot(report.sequence) = {report.sequence, std::move(as_sent)};
 }
 
-bool FlowDigest::MustName(std::size_t bucket, std::uint32_t flows) const {
+bool FlowCountEncoder::MustName(std::size_t bucket, std::uint32_t flows) const {
   const bool is_repeated = mechanisms_.repeat_unanswered && WasNamedSinceBase(bucket);
   return is_repeated || IsFarOff(flows, base_.flows[bucket]);
 }
 
-bool FlowDigest::WasNamedSinceBase(std::size_t bucket) const {
+bool FlowCountEncoder::WasNamedSinceBase(std::size_t bucket) const {
   return std::any_of(sent_.begin(), sent_.end(), [&](const Sent& sent) {
     return sent.sequence > base_.sequence && sent.flows[bucket] != base_.flows[bucket];
   });
 }
 
-void FlowDigest::TakeAnswer(std::uint64_t sequence, FlowsOutcome outcome) {
+void FlowCountEncoder::HandleAnswer(std::uint64_t sequence, FlowCountsOutcome outcome) {
   const Sent& answered = Slot(sequence);
   if (answered.sequence != sequence || sequence < base_.sequence) {
     return;
   }
-  if (outcome == FlowsOutcome::kNeedsWhole) {
+  if (outcome == FlowCountsOutcome::kNeedsFullReport) {
     Reset();
-  } else if (outcome == FlowsOutcome::kTaken && !answered.flows.empty()) {
+  } else if (outcome == FlowCountsOutcome::kAccepted && !answered.flows.empty()) {
     base_ = answered;
   }
 }
 
-void FlowDigest::Reset() {
+void FlowCountEncoder::Reset() {
   base_ = {};
   sent_ = {};
 }
--- a/libs/routing/src/report_ledger.cpp
+++ b/libs/routing/src/report_ledger.cpp
@@ -65,7 +65,7 @@
   }
   std::optional<std::vector<std::uint32_t>> flows = WholeFlows(report);
   if (!flows) {
-    return ReportOutcome::kNeedsWhole;
+    return ReportOutcome::kNeedsFullReport;
   }
   AgentReport whole = report;
   whole.flows_in_buckets = std::move(*flows);
@@ -73,7 +73,7 @@
   if (is_first) {
     const double utilisation = SlotUtilisation(whole);
     records_[report.node] = Record{std::move(whole), now, utilisation, 0.0};
-    return ReportOutcome::kTaken;
+    return ReportOutcome::kAccepted;
   }
   Record& record = found->second;
   constexpr double kLeastInterval = 1e-3;  // seconds; reports that arrive together
@@ -83,7 +83,7 @@
   record.failure_rate += part * (report.endpoint_failures / interval - record.failure_rate);
   record.report = std::move(whole);
   record.received_at = now;
-  return ReportOutcome::kTaken;
+  return ReportOutcome::kAccepted;
 }
 
 const AgentReport* ReportLedger::Find(base::NodeId node) const {
@@ -111,7 +111,7 @@
   view.node = status.entry.node;
   view.zone = status.entry.zone;
   view.weight = status.weight;
-  view.age_of_service = now - first_seen;
+  view.endpoint_uptime = now - first_seen;
   const auto found = records_.find(status.entry.node);
   if (found == records_.end()) {
     return view;
@@ -123,7 +123,7 @@
       record.report.total_slots > 0 ? record.slot_utilisation : view.flow_utilisation;
   view.trust = Trust(record, now);
   view.failure_rate = record.failure_rate;
-  view.age_of_service = record.report.age_of_service + (now - record.received_at);
+  view.endpoint_uptime = record.report.endpoint_uptime + (now - record.received_at);
   return view;
 }
 
--- a/libs/routing/src/service_planner.cpp
+++ b/libs/routing/src/service_planner.cpp
@@ -117,7 +117,7 @@
 
 bool ServicePlanner::IsDeclaredAlive(base::NodeId node) const {
   const AgentStatus* status = FindStatus(node);
-  return status != nullptr && status->standing != AgentStanding::kDead;
+  return status != nullptr && status->liveness != AgentLiveness::kDead;
 }
 
 bool ServicePlanner::MayHoldFlows(base::NodeId node) const {
@@ -129,7 +129,7 @@
     return ReportOutcome::kWrongService;
   }
   const AgentStatus* status = FindStatus(report.node);
-  if (status == nullptr || status->standing == AgentStanding::kDead) {
+  if (status == nullptr || status->liveness == AgentLiveness::kDead) {
     return ReportOutcome::kUnknownAgent;
   }
   if (report.incarnation != status->entry.incarnation) {
@@ -142,15 +142,15 @@
   }
   const std::size_t counts = report.flows_in_buckets.size();
   const bool fits = counts == 0 || counts == table_.buckets.size();
-  return fits ? ReportOutcome::kTaken : ReportOutcome::kWrongBucketCount;
+  return fits ? ReportOutcome::kAccepted : ReportOutcome::kWrongBucketCount;
 }
 
-ReportOutcome ServicePlanner::TakeReport(const AgentReport& report, base::TimePoint now) {
+ReportOutcome ServicePlanner::HandleReport(const AgentReport& report, base::TimePoint now) {
   ReportOutcome outcome = Check(report);
-  if (outcome == ReportOutcome::kTaken) {
+  if (outcome == ReportOutcome::kAccepted) {
     outcome = ledger_.Take(report, now);
   }
-  if (outcome != ReportOutcome::kTaken) {
+  if (outcome != ReportOutcome::kAccepted) {
     ++counters_.reports_refused;
   }
   return outcome;
@@ -158,10 +158,10 @@
 
 bool ServicePlanner::MayAnswer(ReportOutcome outcome) {
   switch (outcome) {
-    case ReportOutcome::kTaken:
+    case ReportOutcome::kAccepted:
     case ReportOutcome::kOlderThanKnown:
     case ReportOutcome::kWrongBucketCount:
-    case ReportOutcome::kNeedsWhole:
+    case ReportOutcome::kNeedsFullReport:
       return true;
     default:
       return false;
@@ -173,8 +173,8 @@
   dead_agents_.NoteAnswered(node, incarnation, now);
 }
 
-void ServicePlanner::NoteFarewell(base::NodeId node, base::Incarnation incarnation) {
-  dead_agents_.NoteFarewell(node, incarnation);
+void ServicePlanner::NoteGracefulLeave(base::NodeId node, base::Incarnation incarnation) {
+  dead_agents_.NoteGracefulLeave(node, incarnation);
 }
 
 std::vector<AssignmentCandidate> ServicePlanner::MakeCandidates(base::TimePoint now) {
@@ -182,7 +182,7 @@
   for (const AgentStatus& status : agents_) {
     const AgentReport* report = ledger_.Find(status.entry.node);
     const bool draining = report != nullptr && report->state == AgentState::kDraining;
-    if (status.standing == AgentStanding::kLive && !draining) {
+    if (status.liveness == AgentLiveness::kLive && !draining) {
       views.push_back(ledger_.View(status, lives_.at(status.entry.node).first_seen, now));
     }
   }
@@ -246,7 +246,7 @@
 std::vector<AgentEntry> ServicePlanner::ListedAgents() const {
   std::vector<AgentEntry> agents;
   for (const AgentStatus& status : agents_) {
-    if (status.standing != AgentStanding::kDead) {
+    if (status.liveness != AgentLiveness::kDead) {
       agents.push_back(status.entry);
     }
   }
@@ -317,7 +317,7 @@
 
 bool ServicePlanner::HaveAllReported() const {
   return std::all_of(agents_.begin(), agents_.end(), [&](const AgentStatus& status) {
-    return status.standing == AgentStanding::kDead || ledger_.Find(status.entry.node) != nullptr;
+    return status.liveness == AgentLiveness::kDead || ledger_.Find(status.entry.node) != nullptr;
   });
 }
 
--- a/libs/routing/src/table_codec.cpp
+++ b/libs/routing/src/table_codec.cpp
@@ -199,7 +199,7 @@
   message.set_total_slots(report.total_slots);
   message.set_queued_requests(report.queued_requests);
   message.set_recent_latency_microseconds(MicrosecondsOf(report.recent_latency));
-  message.set_age_of_service_microseconds(MicrosecondsOf(report.age_of_service));
+  message.set_age_of_service_microseconds(MicrosecondsOf(report.endpoint_uptime));
   message.set_busy_slot_microseconds(MicrosecondsOf(report.busy_slot_time));
   message.set_measured_microseconds(MicrosecondsOf(report.measured_time));
   message.set_endpoint_failures(report.endpoint_failures);
@@ -255,7 +255,7 @@
   report.total_slots = message.total_slots();
   report.queued_requests = message.queued_requests();
   report.recent_latency = DurationOf(message.recent_latency_microseconds());
-  report.age_of_service = DurationOf(message.age_of_service_microseconds());
+  report.endpoint_uptime = DurationOf(message.age_of_service_microseconds());
   report.busy_slot_time = DurationOf(message.busy_slot_microseconds());
   report.measured_time = DurationOf(message.measured_microseconds());
   report.endpoint_failures = message.endpoint_failures();
--- a/libs/routing/tests/dead_agent_hold_test.cpp
+++ b/libs/routing/tests/dead_agent_hold_test.cpp
@@ -9,11 +9,11 @@
 
 constexpr base::NodeId kNode(7);
 
-AgentStatus MakeStatus(std::uint64_t incarnation, AgentStanding standing = AgentStanding::kLive) {
+AgentStatus MakeStatus(std::uint64_t incarnation, AgentLiveness liveness = AgentLiveness::kLive) {
   AgentStatus status;
   status.entry.node = kNode;
   status.entry.incarnation = base::Incarnation(incarnation);
-  status.standing = standing;
+  status.liveness = liveness;
   return status;
 }
 
@@ -33,7 +33,7 @@
   void HoldsFromTheLastAnswer() {
     DeadAgentHold hold(kDeadAgentHold);
     hold.NoteAnswered(kNode, base::Incarnation(1), At(1000));
-    hold.Update(listed_, {MakeStatus(1, AgentStanding::kDead)}, At(3000));
+    hold.Update(listed_, {MakeStatus(1, AgentLiveness::kDead)}, At(3000));
     CPPUNIT_ASSERT(hold.NextRelease() == At(1000) + kDeadAgentHold);
     CPPUNIT_ASSERT(!hold.Release(At(3599)));
     CPPUNIT_ASSERT(hold.Holds(kNode));
@@ -54,12 +54,12 @@
     restarted.Update(listed_, {MakeStatus(2)}, At(3100));
     CPPUNIT_ASSERT(!restarted.Holds(kNode));
     DeadAgentHold left(kDeadAgentHold);
-    left.NoteFarewell(kNode, base::Incarnation(1));
+    left.NoteGracefulLeave(kNode, base::Incarnation(1));
     left.Update(listed_, {}, At(3000));
     CPPUNIT_ASSERT(!left.Holds(kNode));
     DeadAgentHold left_late(kDeadAgentHold);
     left_late.Update(listed_, {}, At(3000));
-    left_late.NoteFarewell(kNode, base::Incarnation(1));
+    left_late.NoteGracefulLeave(kNode, base::Incarnation(1));
     CPPUNIT_ASSERT(left_late.Release(At(3000)));
   }
 
--- a/libs/routing/tests/service_planner_test.cpp
+++ b/libs/routing/tests/service_planner_test.cpp
@@ -16,11 +16,11 @@
 
 base::NodeId Node(int number) { return base::NodeId(static_cast<std::uint64_t>(number)); }
 
-AgentStatus MakeStatus(int number, AgentStanding standing = AgentStanding::kLive) {
+AgentStatus MakeStatus(int number, AgentLiveness liveness = AgentLiveness::kLive) {
   AgentStatus status;
   status.entry.node = Node(number);
   status.entry.incarnation = base::Incarnation(1);
-  status.standing = standing;
+  status.liveness = liveness;
   return status;
 }
 
@@ -54,8 +54,8 @@
     }
     report.total_slots = 10;
     report.busy_slots = busy;
-    report.age_of_service = seconds(1000);
-    return planner.TakeReport(report, now);
+    report.endpoint_uptime = seconds(1000);
+    return planner.HandleReport(report, now);
   }
 
   // Reports `flows` flows in each bucket that names the agent.
@@ -118,7 +118,7 @@
   void LeavingAgentLosesAllBucketsAtOnceAndStaysInTheChains() {
     Fixture fixture = WithThreeAgents();
     fixture.planner.SetAgents(
-        {MakeStatus(1, AgentStanding::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
+        {MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
     const std::optional<TableDelta> delta = fixture.planner.Step(fixture.now);
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, delta->changes.size());
     for (const BucketChange& change : delta->changes) {
@@ -132,7 +132,7 @@
     Fixture fixture = WithThreeAgents();
     fixture.Report(1, 0);  // before the move: says nothing about flows opened until then
     fixture.planner.SetAgents(
-        {MakeStatus(1, AgentStanding::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
+        {MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
     fixture.planner.Step(fixture.now);
     CPPUNIT_ASSERT(!fixture.StepLater().has_value());
     fixture.Report(1, 4);
@@ -148,10 +148,10 @@
   void DeadAgentIsInNoChainAndOwnsNothing() {
     Fixture fixture = WithThreeAgents();
     fixture.planner.SetAgents(
-        {MakeStatus(1, AgentStanding::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
+        {MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
     fixture.planner.Step(fixture.now);
     const BucketTable before = fixture.planner.Table();
-    fixture.planner.SetAgents({MakeStatus(2), MakeStatus(3, AgentStanding::kDead)}, fixture.now);
+    fixture.planner.SetAgents({MakeStatus(2), MakeStatus(3, AgentLiveness::kDead)}, fixture.now);
     // Both may be cut off only, and open flows.
     CPPUNIT_ASSERT(!fixture.StepLater(kFreshnessLimit).has_value());
     CPPUNIT_ASSERT(fixture.planner.Table() == before);
@@ -165,7 +165,7 @@
 
   void AgentThatSaidFarewellOrHasAnotherLifeIsNotWaitedFor() {
     Fixture fixture = WithThreeAgents();
-    fixture.planner.NoteFarewell(Node(3), base::Incarnation(1));
+    fixture.planner.NoteGracefulLeave(Node(3), base::Incarnation(1));
     fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2)}, fixture.now);
     CPPUNIT_ASSERT(fixture.planner.Step(fixture.now).has_value());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.Owned()[Node(3)]);
@@ -178,7 +178,7 @@
   void OnlyWhoIsKnownToLiveMayBeAnswered() {
     Fixture fixture = WithThreeAgents();
     CPPUNIT_ASSERT(ServicePlanner::MayAnswer(fixture.Report(3, 0)));
-    fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2), MakeStatus(3, AgentStanding::kDead)},
+    fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2), MakeStatus(3, AgentLiveness::kDead)},
                               fixture.now);
     CPPUNIT_ASSERT(!ServicePlanner::MayAnswer(fixture.Report(3, 0)));
     fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2)}, fixture.now);
@@ -190,7 +190,7 @@
     Fixture fixture = WithThreeAgents();
     const BucketTable before = fixture.planner.Table();
     fixture.planner.SetAgents(
-        {MakeStatus(1, AgentStanding::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
+        {MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
     fixture.planner.Step(fixture.now);
     fixture.planner.SetAgents({MakeStatus(1), MakeStatus(2), MakeStatus(3)}, fixture.now);
     for (int step = 0; step < 30; ++step) {
@@ -252,7 +252,7 @@
     fixture.StepLater(kDeadAgentHold);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.Owned()[Node(1)]);
     fixture.planner.SetAgents(
-        {MakeStatus(1, AgentStanding::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
+        {MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)}, fixture.now);
     fixture.planner.Step(fixture.now);
     fixture.ReportWhere(1, 1, [](const Bucket&) { return true; });
     fixture.StepLater();
@@ -299,7 +299,7 @@
   // never saw, after it sent the report.
   void ReportsFromBeforeATakeOverShortenNoChain() {
     Fixture former = WithThreeAgents();
-    former.planner.SetAgents({MakeStatus(1, AgentStanding::kLeaving), MakeStatus(2), MakeStatus(3)},
+    former.planner.SetAgents({MakeStatus(1, AgentLiveness::kLeaving), MakeStatus(2), MakeStatus(3)},
                              former.now);
     former.planner.Step(former.now);
     const BucketTable old = former.planner.Table();
@@ -310,7 +310,7 @@
     report.incarnation = base::Incarnation(1);
     report.table_version = old.version;
     report.flows_in_buckets.assign(old.buckets.size(), 0);
-    CPPUNIT_ASSERT(Outcome(successor, report) == ReportOutcome::kTaken);
+    CPPUNIT_ASSERT(Outcome(successor, report) == ReportOutcome::kAccepted);
     CPPUNIT_ASSERT(!successor.planner.Step(successor.now).has_value());
     CPPUNIT_ASSERT(successor.StepLater(PlannerSettings{}.take_over_settling).has_value());
     for (const Bucket& bucket : successor.planner.Table().buckets) {
@@ -337,11 +337,11 @@
     report.flows_in_buckets.assign(3, 0);
     CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kWrongBucketCount);
     report.flows_in_buckets.clear();
-    CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kTaken);
+    CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kAccepted);
     report.table_version = {1, 0, 9};
     CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kFutureTable);
     report.table_version = {1, 0, 1};
-    CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kTaken);
+    CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kAccepted);
     report.table_version = {1, 0, 0};
     CPPUNIT_ASSERT(Outcome(fixture, report) == ReportOutcome::kOlderThanKnown);
     report.incarnation = base::Incarnation(2);
@@ -399,7 +399,7 @@
       std::vector<AgentStatus> agents;
       for (int number = 1; number <= kAgents; ++number) {
         agents.push_back(
-            MakeStatus(number, number == serving ? AgentStanding::kLive : AgentStanding::kLeaving));
+            MakeStatus(number, number == serving ? AgentLiveness::kLive : AgentLiveness::kLeaving));
       }
       fixture.planner.SetAgents(agents, fixture.now);
       for (int number = 1; number <= kAgents; ++number) {
@@ -440,7 +440,7 @@
   }
 
   static ReportOutcome Outcome(Fixture& fixture, const AgentReport& report) {
-    return fixture.planner.TakeReport(report, fixture.now);
+    return fixture.planner.HandleReport(report, fixture.now);
   }
 };
 
--- a/libs/routing/tests/table_codec_test.cpp
+++ b/libs/routing/tests/table_codec_test.cpp
@@ -71,7 +71,7 @@
     report.recent_latency = std::chrono::milliseconds(12);
     report.busy_slot_time = std::chrono::milliseconds(2345);
     report.measured_time = std::chrono::milliseconds(999);
-    report.age_of_service = std::chrono::hours(9);
+    report.endpoint_uptime = std::chrono::hours(9);
     report.endpoint_failures = 2;
     report.flows_in_buckets.assign(256, 0);
     report.flows_in_buckets[0] = 9;
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT(report.recent_latency == decoded.recent_latency);
     CPPUNIT_ASSERT(decoded.busy_slot_time == report.busy_slot_time);
     CPPUNIT_ASSERT(decoded.measured_time == report.measured_time);
-    CPPUNIT_ASSERT(report.age_of_service == decoded.age_of_service);
+    CPPUNIT_ASSERT(report.endpoint_uptime == decoded.endpoint_uptime);
     CPPUNIT_ASSERT_EQUAL(report.endpoint_failures, decoded.endpoint_failures);
     CPPUNIT_ASSERT(report.flows_in_buckets == decoded.flows_in_buckets);
   }
--- a/proofs/flow_ownership/src/flow_world.cpp
+++ b/proofs/flow_ownership/src/flow_world.cpp
@@ -232,7 +232,7 @@
       agents_[table->to].UpdateTable(*table->table, table->confirmed_at);
     }
   } else {
-    planner_.TakeReport(std::get<routing::AgentReport>(message));
+    planner_.HandleReport(std::get<routing::AgentReport>(message));
   }
 }
 
--- a/proofs/flow_ownership/src/planner_model.cpp
+++ b/proofs/flow_ownership/src/planner_model.cpp
@@ -65,7 +65,7 @@
   Publish(std::move(table));
 }
 
-void PlannerModel::TakeReport(const routing::AgentReport& report) {
+void PlannerModel::HandleReport(const routing::AgentReport& report) {
   const routing::AgentEntry* const agent = Newest().FindAgent(report.node);
   if (agent == nullptr || agent->incarnation != report.incarnation) {
     return;
--- a/proofs/flow_ownership/src/planner_model.h
+++ b/proofs/flow_ownership/src/planner_model.h
@@ -32,7 +32,7 @@
   void Move(std::size_t bucket, base::NodeId node);
 
   // Takes a report: shortens chains, and names an agent again that holds flows.
-  void TakeReport(const routing::AgentReport& report);
+  void HandleReport(const routing::AgentReport& report);
 
   // Tells whether the newest table lists the agent.
   bool Lists(base::NodeId node) const { return Newest().FindAgent(node) != nullptr; }
--- a/proofs/hand_over/hand_over_world.cpp
+++ b/proofs/hand_over/hand_over_world.cpp
@@ -105,7 +105,7 @@
   requests::LocalSituation situation;
   situation.was_handed_over = was_handed_over;
   situation.is_draining = true;
-  const auto need = requests::NeedOf(situation, limits_);
+  const auto need = requests::FindHandOverNeed(situation, limits_);
   if (!need) {
     return false;
   }
@@ -196,15 +196,15 @@
   if (!IsAt(ledger_.Of(number), node)) {
     return;  // handed on by an agent that isn't its caller's
   }
-  if (const auto* const bytes = std::get_if<requests::AnswerBytesCame>(&event.what)) {
+  if (const auto* const bytes = std::get_if<requests::AnswerBytesReceived>(&event.what)) {
     ledger_.Bytes(number, bytes->bytes);
   } else if (const auto* const refused = std::get_if<requests::HandOverRefused>(&event.what)) {
     ledger_.Refused(number, refused->refusal.outcome);
-  } else if (std::holds_alternative<requests::AnswerHeadCame>(event.what)) {
+  } else if (std::holds_alternative<requests::AnswerHeadReceived>(event.what)) {
     ledger_.Head(number);
   } else if (std::holds_alternative<requests::AnswerEnded>(event.what)) {
     ledger_.Whole(number);
-  } else if (std::holds_alternative<requests::AnswerCut>(event.what)) {
+  } else if (std::holds_alternative<requests::AnswerAborted>(event.what)) {
     ledger_.Cut(number);
   } else {
     GiveBody(node, number);
@@ -231,12 +231,12 @@
   if (run == nullptr) {
     return;
   }
-  if (const auto* const bytes = std::get_if<requests::BodyBytesCame>(&event.what)) {
+  if (const auto* const bytes = std::get_if<requests::BodyBytesReceived>(&event.what)) {
     run->body += bytes->bytes;
     ledger_.EndpointReceived(run->request, run->body, false);
   } else if (std::holds_alternative<requests::BodyEnded>(event.what)) {
     ledger_.EndpointReceived(run->request, run->body, true);
-  } else if (std::holds_alternative<requests::AnswerWanted>(event.what)) {
+  } else if (std::holds_alternative<requests::AnswerWritable>(event.what)) {
     run->has_room = true;
   } else {
     run->stage = Run::Stage::kOver;
@@ -299,7 +299,7 @@
     chosen.stage = Run::Stage::kAnswering;
     executor.BeginAnswer(chosen.id, head, now_, actions);
   } else if (fails) {
-    executor.CutAnswer(chosen.id, now_, actions);
+    executor.AbortAnswer(chosen.id, now_, actions);
     chosen.stage = Run::Stage::kOver;
   } else if (chosen.has_room) {
     const std::string part = ledger_.Of(chosen.request).answer.substr(chosen.answered, kPart);
@@ -458,7 +458,7 @@
   for (std::uint32_t number = 0; number < kAgents; ++number) {
     const base::NodeId node = NodeAt(number);
     if (Agent* const agent = Active(node)) {
-      const requests::OwnLoad load{kSlots, kSlots, !agent->is_draining};
+      const requests::LocalLoad load{kSlots, kSlots, !agent->is_draining};
       Take(node, agent->core->OnTimer(load, now_));
     }
   }
--- a/proofs/placement/src/placement_simulation.cpp
+++ b/proofs/placement/src/placement_simulation.cpp
@@ -243,7 +243,7 @@
                         {},
                         0,
                         0});
-  } else if (decision.verdict == AgentVerdict::kPassOn) {
+  } else if (decision.verdict == AgentVerdict::kForwardToNextAgent) {
     PassOn(datagram.packet, decision);
   } else if (decision.verdict == AgentVerdict::kDeliver) {
     // The path from an agent to its endpoint may delay packets but keeps their order, so it is
@@ -320,17 +320,23 @@
     network_.push_back(
         {Hop::kToBalancer, IndexOf(decision.balancer), agent, clean, decision.header, {}, 0, 0});
   }
-  if (decision.verdict == AgentVerdict::kPassOn) {
+  if (decision.verdict == AgentVerdict::kForwardToNextAgent) {
     PassOn(clean, decision);
   }
   if (decision.verdict != AgentVerdict::kToClient) {
     return;
   }
-  if (decision.searcher) {
+  if (decision.searching_balancer) {
     placement::ForwardHeader header;
     header.service = agents_[agent].endpoint.service;
-    network_.push_back(
-        {Hop::kHolderNotice, IndexOf(*decision.searcher), agent, clean, header, {}, 0, 0});
+    network_.push_back({Hop::kHolderNotice,
+                        IndexOf(*decision.searching_balancer),
+                        agent,
+                        clean,
+                        header,
+                        {},
+                        0,
+                        0});
   }
   Flow& flow = FlowOf(packet);
   if (packet.is_synchronizing && flow.endpoint_sequence == 0) {
--- a/proofs/routing/planner_fleet.cpp
+++ b/proofs/routing/planner_fleet.cpp
@@ -34,7 +34,7 @@
 }  // namespace
 
 PlannerFleet::PlannerFleet(const routing::PlannerMechanisms& mechanisms, PolicyMaker make_policies,
-                           const routing::FlowDigestMechanisms& digest_mechanisms)
+                           const routing::FlowCountEncoderMechanisms& digest_mechanisms)
     : mechanisms_(mechanisms),
       make_policies_(make_policies),
       digest_mechanisms_(digest_mechanisms),
@@ -131,7 +131,7 @@
   }
   report.total_slots = kSlots;
   report.busy_slots = busy % (kSlots + 1);
-  report.age_of_service = std::chrono::hours(1);
+  report.endpoint_uptime = std::chrono::hours(1);
   return report;
 }
 
@@ -142,7 +142,7 @@
 void PlannerFleet::Send(std::size_t agent, routing::AgentReport report) {
   const std::vector<std::uint32_t> flows = report.flows_in_buckets;
   report.sequence = ++agents_[agent].last_sequence;
-  agents_[agent].digest.Shorten(report);
+  agents_[agent].digest.EncodeChanges(report);
   reports_.push_back({std::move(report), now_, flows});
 }
 
@@ -166,11 +166,11 @@
   const SentReport sent = *chosen;
   const routing::AgentReport& report = sent.report;
   reports_.erase(chosen);
-  const routing::ReportOutcome outcome = planner_->TakeReport(report, now_);
+  const routing::ReportOutcome outcome = planner_->HandleReport(report, now_);
   if (routing::ServicePlanner::MayAnswer(outcome)) {
     Answer(sent, outcome);
   }
-  if (outcome != routing::ReportOutcome::kTaken) {
+  if (outcome != routing::ReportOutcome::kAccepted) {
     return;
   }
   CheckPicture(sent);
@@ -189,12 +189,12 @@
   if (reporter.incarnation == report.incarnation) {
     reporter.confirmed_at = std::max(reporter.confirmed_at, sent.sent_at);
   }
-  const bool is_taken = outcome == routing::ReportOutcome::kTaken;
-  const bool needs_whole = outcome == routing::ReportOutcome::kNeedsWhole;
+  const bool is_taken = outcome == routing::ReportOutcome::kAccepted;
+  const bool needs_whole = outcome == routing::ReportOutcome::kNeedsFullReport;
   answers_.push_back({AgentOf(report.node), report.incarnation, report.sequence,
-                      is_taken      ? routing::FlowsOutcome::kTaken
-                      : needs_whole ? routing::FlowsOutcome::kNeedsWhole
-                                    : routing::FlowsOutcome::kRefused});
+                      is_taken      ? routing::FlowCountsOutcome::kAccepted
+                      : needs_whole ? routing::FlowCountsOutcome::kNeedsFullReport
+                                    : routing::FlowCountsOutcome::kRefused});
 }
 
 // What the planner has of an agent is what the agent had when it sent the report: which buckets are
@@ -231,7 +231,7 @@
   const SentAnswer answer = answers_[position % answers_.size()];
   LoseAnswer(position);
   if (agents_[answer.agent].incarnation == answer.incarnation) {
-    agents_[answer.agent].digest.TakeAnswer(answer.sequence, answer.outcome);
+    agents_[answer.agent].digest.HandleAnswer(answer.sequence, answer.outcome);
   }
 }
 
@@ -241,13 +241,13 @@
   }
 }
 
-void PlannerFleet::TellStanding(std::uint32_t agent, std::uint32_t standing) {
+void PlannerFleet::TellStanding(std::uint32_t agent, std::uint32_t liveness) {
   constexpr std::uint32_t kStandings = 3;
   routing::AgentStatus& status = told_[agent % kAgents];
   const base::Incarnation life = agents_[agent % kAgents].incarnation;
   const bool was_dead =
-      status.standing == routing::AgentStanding::kDead && status.entry.incarnation == life;
-  status.standing = static_cast<routing::AgentStanding>(standing % kStandings);
+      status.liveness == routing::AgentLiveness::kDead && status.entry.incarnation == life;
+  status.liveness = static_cast<routing::AgentLiveness>(liveness % kStandings);
   status.entry.incarnation = life;
   if (!was_dead) {
     told_dead_at_[agent % kAgents] = now_;
@@ -256,20 +256,20 @@
 }
 
 void PlannerFleet::TellDead(std::uint32_t agent) {
-  TellStanding(agent, static_cast<std::uint32_t>(routing::AgentStanding::kDead));
+  TellStanding(agent, static_cast<std::uint32_t>(routing::AgentLiveness::kDead));
 }
 
 // What it held ends with it, and it opens nothing any more; it comes back as another life.
 void PlannerFleet::SayFarewell(std::uint32_t agent) {
   Agent& leaver = agents_[agent % kAgents];
   const base::Incarnation last = leaver.incarnation;
-  planner_->NoteFarewell(NodeOf(agent % kAgents), last);
+  planner_->NoteGracefulLeave(NodeOf(agent % kAgents), last);
   leaver = MakeLife(base::Incarnation(last.value() + 1));
   routing::AgentStatus& status = told_[agent % kAgents];
-  if (status.standing != routing::AgentStanding::kDead) {
+  if (status.liveness != routing::AgentLiveness::kDead) {
     told_dead_at_[agent % kAgents] = now_;
   }
-  status.standing = routing::AgentStanding::kDead;
+  status.liveness = routing::AgentLiveness::kDead;
   draining_.erase(NodeOf(agent % kAgents));
   TellPlanner();
 }
@@ -309,7 +309,7 @@
 }
 
 bool PlannerFleet::IsToldAlive(base::NodeId node) const {
-  return node != base::NodeId() && told_[AgentOf(node)].standing != routing::AgentStanding::kDead;
+  return node != base::NodeId() && told_[AgentOf(node)].liveness != routing::AgentLiveness::kDead;
 }
 
 // A dead agent's buckets may wait for this long, and not longer.
@@ -325,7 +325,7 @@
 
 bool PlannerFleet::MayOwn(base::NodeId node) const {
   return node != base::NodeId() && !draining_.contains(node) &&
-         told_[AgentOf(node)].standing == routing::AgentStanding::kLive;
+         told_[AgentOf(node)].liveness == routing::AgentLiveness::kLive;
 }
 
 bool PlannerFleet::AnybodyMayOwn() const {
--- a/proofs/routing/planner_fleet.h
+++ b/proofs/routing/planner_fleet.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "gaugevalve/base/time.h"
-#include "gaugevalve/routing/flow_digest.h"
+#include "gaugevalve/routing/flow_count_encoder.h"
 #include "gaugevalve/routing/service_planner.h"
 
 namespace gaugevalve::proofs {
@@ -29,7 +29,7 @@
   // `make_policies` makes the rules of each planner in turn.
   using PolicyMaker = routing::PlannerPolicies (*)(const routing::PlannerSettings&);
   PlannerFleet(const routing::PlannerMechanisms& mechanisms, PolicyMaker make_policies,
-               const routing::FlowDigestMechanisms& digest_mechanisms = {});
+               const routing::FlowCountEncoderMechanisms& digest_mechanisms = {});
 
   // Events.
   void OpenFlow(std::uint32_t agent, std::uint32_t bucket);
@@ -43,7 +43,7 @@
   void LoseReport(std::uint32_t position);
   void DeliverAnswer(std::uint32_t position);
   void LoseAnswer(std::uint32_t position);
-  void TellStanding(std::uint32_t agent, std::uint32_t standing);
+  void TellStanding(std::uint32_t agent, std::uint32_t liveness);
   void TellDead(std::uint32_t agent);     // whatever is true: it may only be cut off from control
   void SayFarewell(std::uint32_t agent);  // it ends, and says so
   void Restart(std::uint32_t agent);
@@ -69,7 +69,7 @@
     // When it sent the newest of its reports that were answered: it opens flows for a while after.
     base::TimePoint confirmed_at = base::TimePoint::min();
     std::uint64_t last_sequence = 0;
-    routing::FlowDigest digest;
+    routing::FlowCountEncoder digest;
   };
 
   // A report with the time at which it was sent.
@@ -83,7 +83,7 @@
     std::size_t agent = 0;
     base::Incarnation incarnation;
     std::uint64_t sequence = 0;
-    routing::FlowsOutcome outcome;
+    routing::FlowCountsOutcome outcome;
   };
 
   // A non-forced move of a bucket, for the bound per minute.
@@ -114,7 +114,7 @@
 
   routing::PlannerMechanisms mechanisms_;
   PolicyMaker make_policies_;
-  routing::FlowDigestMechanisms digest_mechanisms_;
+  routing::FlowCountEncoderMechanisms digest_mechanisms_;
   routing::PlannerSettings settings_;
   base::TimePoint now_{};
   std::uint32_t generation_ = 0;
--- a/proofs/routing/routing_proof.cpp
+++ b/proofs/routing/routing_proof.cpp
@@ -92,7 +92,7 @@
 };
 
 void KeepsItsRules(const PlannerMechanisms& mechanisms, PlannerFleet::PolicyMaker make_policies,
-                   const routing::FlowDigestMechanisms& digest_mechanisms = {}) {
+                   const routing::FlowCountEncoderMechanisms& digest_mechanisms = {}) {
   PlannerFleet fleet(mechanisms, make_policies, digest_mechanisms);
   rc::state::check(NoModel(), fleet, [](const NoModel& /*model*/) {
     return rc::gen::exec([] {
@@ -222,7 +222,7 @@
 
 const RegisteredProof mutant_digest("without_repeating_unanswered_flows",
                                     ProofKind::kMutantIsCaught, [] {
-                                      routing::FlowDigestMechanisms mechanisms;
+                                      routing::FlowCountEncoderMechanisms mechanisms;
                                       mechanisms.repeat_unanswered = false;
                                       KeepsItsRules(PlannerMechanisms(),
                                                     routing::MakePlannerPolicies, mechanisms);
--- a/standins/machine_list/tests/machine_list_standin_test.cpp
+++ b/standins/machine_list/tests/machine_list_standin_test.cpp
@@ -49,7 +49,7 @@
         loop.get(), server.BoundAddress(), clock,
         {std::chrono::milliseconds(20), std::chrono::seconds(20)}, /*seed=*/1,
         [&latest](const machines::ParsedMachineList& parsed) { latest = parsed; });
-    while (client.FailuresInARow() < 2) {
+    while (client.ConsecutiveFailures() < 2) {
       event_base_loop(loop.get(), EVLOOP_ONCE);
     }
     CPPUNIT_ASSERT(!latest.has_value());
--- a/tools/lab/src/discovery_experiment.cpp
+++ b/tools/lab/src/discovery_experiment.cpp
@@ -149,7 +149,7 @@
                                                                   core.life, *agent.core);
       agent.core->Gate().Announce({.incarnation = {"endpoint"}, .capacity = 2, .sequence = 1},
                                   now_);
-      greeting.agents = SomeAgents(placement::FellowList::kLimit);
+      greeting.agents = SomeAgents(placement::PeerAgentList::kLimit);
       bool is_new = false;
       agent.reporter->OnGreeting(greeting, AddressOf(kFirstBalancer, 0), base::TimePoint(), is_new);
       agent.reporter->ReportInTurn(base::TimePoint());
--- a/tools/lab/src/planner_cost.cpp
+++ b/tools/lab/src/planner_cost.cpp
@@ -10,7 +10,7 @@
 
 #include "gaugevalve/base/random_source.h"
 #include "gaugevalve/control/control_message.h"
-#include "gaugevalve/routing/flow_digest.h"
+#include "gaugevalve/routing/flow_count_encoder.h"
 #include "gaugevalve/routing/service_planner.h"
 #include "gaugevalve/routing/table_codec.h"
 
@@ -58,8 +58,8 @@
   }
 
   control::NumberedReport MakeReport();
-  void TakeAnswer(std::uint64_t sequence) {
-    digest_.TakeAnswer(sequence, routing::FlowsOutcome::kTaken);
+  void HandleAnswer(std::uint64_t sequence) {
+    digest_.HandleAnswer(sequence, routing::FlowCountsOutcome::kAccepted);
   }
 
  private:
@@ -80,7 +80,7 @@
   base::RandomSource random_;
   std::vector<std::uint32_t> flows_;  // index = bucket
   std::uint64_t sequence_ = 0;
-  routing::FlowDigest digest_;
+  routing::FlowCountEncoder digest_;
 };
 
 control::NumberedReport ReportingAgent::MakeReport() {
@@ -91,14 +91,14 @@
   report.table_version = table_.version;
   report.total_slots = 7;
   report.busy_slots = 3;
-  report.age_of_service = std::chrono::hours(1);
+  report.endpoint_uptime = std::chrono::hours(1);
   constexpr base::Duration kSecond = std::chrono::seconds(1);
   report.busy_slot_time = 3 * kSecond;
   report.measured_time = kSecond;
   report.flows_in_buckets = flows_;
   report.open_flows = std::accumulate(flows_.begin(), flows_.end(), 0U);
   report.sequence = ++sequence_;
-  digest_.Shorten(report);
+  digest_.EncodeChanges(report);
   return {sequence_, report};
 }
 
@@ -129,7 +129,7 @@
       reporter.PassSecond();
       const control::NumberedReport numbered = reporter.MakeReport();
       reports.push_back(control::EncodeReport(numbered));
-      reporter.TakeAnswer(numbered.sequence);
+      reporter.HandleAnswer(numbered.sequence);
       const control::ReportAnswer answer{numbered.sequence, planner.Table().version};
       cost.answer_bytes = std::max(cost.answer_bytes, control::EncodeAnswer(answer).size());
     }
@@ -142,7 +142,7 @@
     const double before_reports = ProcessorMicroseconds();
     for (const std::string& report : reports) {
       const control::ControlMessage message = control::DecodeControlMessage(report);
-      planner.TakeReport(std::get<control::NumberedReport>(message).report, now);
+      planner.HandleReport(std::get<control::NumberedReport>(message).report, now);
     }
     const double before_step = ProcessorMicroseconds();
     planner.Step(now);
@@ -152,7 +152,7 @@
     cost.quiet_step_microseconds += (after_step - before_step) / kRounds;
   }
   std::vector<routing::AgentStatus> one_leaves = agents;
-  one_leaves.front().standing = routing::AgentStanding::kLeaving;
+  one_leaves.front().liveness = routing::AgentLiveness::kLeaving;
   for (int round = 0; round < kRounds; ++round) {
     routing::ServicePlanner fresh(kService, 1, 0, settings);
     fresh.SetAgents(agents, now);
--- a/tools/lab/src/planner_host.cpp
+++ b/tools/lab/src/planner_host.cpp
@@ -102,9 +102,9 @@
   status.entry = {agent.node, agent.incarnation, agent.address, agent.zone};
   status.weight = agent.weight;
   status.flow_capacity = world_.scenario.services[service_].flow_capacity;
-  status.standing = !agent.HasControl() ? routing::AgentStanding::kDead
-                    : agent.draining    ? routing::AgentStanding::kLeaving
-                                        : routing::AgentStanding::kLive;
+  status.liveness = !agent.HasControl() ? routing::AgentLiveness::kDead
+                    : agent.draining    ? routing::AgentLiveness::kLeaving
+                                        : routing::AgentLiveness::kLive;
   std::erase_if(known_, [&](const routing::AgentStatus& other) {
     return other.entry.node == status.entry.node;
   });
@@ -281,7 +281,7 @@
 }
 
 void PlannerHost::ShowTable(AgentHost& agent) const {
-  agent.reporter.NoteTable(agent.table.version);
+  agent.reporter.OnTableChanged(agent.table.version);
   agent.core->UpdateTable(agent.table, agent.reporter.ConfirmedAt());
 }
 
@@ -339,7 +339,7 @@
       std::chrono::duration<double>(busy_seconds - agent.reported_busy_seconds));
   report.measured_time = world_.Now() - agent.reported_at;
   constexpr base::Duration kLongAgo = std::chrono::hours(24);
-  report.age_of_service = agent.warm_start ? kLongAgo : world_.Now() - agent.started_at;
+  report.endpoint_uptime = agent.warm_start ? kLongAgo : world_.Now() - agent.started_at;
   return report;
 }
 
@@ -350,14 +350,14 @@
   }
   balancer.control.Add(sent.bytes);
   const routing::AgentReport& report = sent.numbered.report;
-  const routing::ReportOutcome outcome = planner_->TakeReport(report, world_.Now());
+  const routing::ReportOutcome outcome = planner_->HandleReport(report, world_.Now());
   if (!routing::ServicePlanner::MayAnswer(outcome)) {
     return;
   }
   planner_->NoteAnswered(report.node, report.incarnation, world_.Now());
   const control::ReportAnswer answer{sent.numbered.sequence,
                                      planner_->ListedSince(report.node, report.incarnation),
-                                     control::FlowsOutcomeOf(outcome)};
+                                     control::FlowCountsOutcomeOf(outcome)};
   balancer.control.Add(control::EncodeAnswer(answer).size());
   const std::size_t index = sent.agent;
   world_.Schedule(world_.Latency(balancer.zone, world_.agents[index]->zone),
@@ -370,7 +370,7 @@
     return;
   }
   agent.control.Add(control::EncodeAnswer(answer).size());
-  agent.reporter.TakeAnswer(answer, agent.table.version);
+  agent.reporter.HandleAnswer(answer, agent.table.version);
   agent.core->UpdateTable(agent.table, agent.reporter.ConfirmedAt());
   if (answer.table_version > agent.table.version) {
     const base::Duration round_trip =
