--- a/daemons/agent/fuzzers/http1_response_fuzzer.cpp
+++ b/daemons/agent/fuzzers/http1_response_fuzzer.cpp
@@ -1,6 +1,6 @@
-// Fuzz target: any bytes an endpoint may send, in pieces of any size, are parsed without a fault;
-// an answer is whole at the same byte however it is cut into pieces, and a body never exceeds the
-// input.
+// Fuzz target for Http1ResponseParser with arbitrary input. Checks that parsing does not crash,
+// that the result is the same for the input at once and byte by byte, and that a body is not longer
+// than the input.
 #include <algorithm>
 #include <cstdlib>
 
--- a/daemons/agent/src/admitted_request.cpp
+++ b/daemons/agent/src/admitted_request.cpp
@@ -21,7 +21,7 @@
   return {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()};
 }
 
-// Sends a whole answer of the agent's own.
+// Sends a complete answer that the agent generates itself.
 void SendAnswer(quic::ResponseWriter& writer, int status, quic::HeaderFields fields,
                 std::string_view body) {
   fields.push_back({"content-length", std::to_string(body.size())});
@@ -65,11 +65,13 @@
 
 std::uint64_t AdmittedRequest::Fingerprint() const {
   const std::uint64_t target = base::HashText(head_.path, base::HashText(head_.method));
-  // How much beyond it has come depends on how the body was cut into datagrams or frames.
+  // Bytes beyond the limit are left out: how many have arrived depends on how the body was split
+  // into datagrams or frames.
   return base::HashText(std::string_view(early_body_).substr(0, kMaxEarlyBodyBytes), target);
 }
 
-// A keyed request is decided on once its body is whole, or as much of it is here as is compared.
+// A keyed request can be decided on once its body is complete or the part that the fingerprint
+// covers has arrived.
 void AdmittedRequest::ArriveIfReady() {
   const bool is_ready = is_body_whole_ || early_body_.size() >= kMaxEarlyBodyBytes;
   if (is_keyed_ && is_ready && !has_arrived_) {
--- a/daemons/agent/src/admitted_request.h
+++ b/daemons/agent/src/admitted_request.h
@@ -1,4 +1,4 @@
-// One caller's request on its way through the agent.
+// A request of a caller, from its arrival at the agent to the end of its answer.
 #pragma once
 
 #include <cstddef>
@@ -17,22 +17,23 @@
 
 class AdmittedRequest;
 
-// How far a request's answer is.
+// Progress of a request's answer.
 struct AnswerProgress {
   bool has_begun = false;
-  std::uint64_t bytes = 0;        // of its body
-  bool waits_for_caller = false;  // the caller takes no more for now
+  std::uint64_t bytes = 0;        // of the answer's body so far
+  bool waits_for_caller = false;  // the caller's flow control blocks the answer
 };
 
-// Who decides on requests. Outlives every request.
+// Decides what happens to requests. Must outlive every request.
 class RequestOwner {
  public:
   virtual ~RequestOwner() = default;
 
-  // All that is needed to decide is there: the head, and of a keyed request the body.
+  // The request can be decided on: its head has arrived and, for a keyed request, the part of the
+  // body that the fingerprint covers.
   virtual void OnArrived(AdmittedRequest& request) = 0;
 
-  // The answer's head has gone to the caller.
+  // The answer's head was sent to the caller.
   virtual void OnAnswerBegan(requests::RequestId id) = 0;
 
   // The answer is a long-lived event stream, though the caller didn't ask for one.
@@ -42,37 +43,39 @@
   virtual void OnEnded(requests::RequestId id, requests::EndpointResult end,
                        const requests::StoredAnswer& answer) = 0;
 
-  // The caller gave it up, or its connection is gone.
+  // The caller cancelled the request or its connection ended.
   virtual void OnCancelled(requests::RequestId id) = 0;
 };
 
-// Takes the refusals of a request that came from another agent: that agent answers its caller.
+// Receives the refusals of a request that another agent handed over. That agent answers the caller.
 class RefusalSink {
  public:
   virtual ~RefusalSink() = default;
   virtual void Refuse(const requests::Refusal& refusal) = 0;
 };
 
-// Holds the body back until the request is started, with at most kMaxEarlyBodyBytes consumed: the
-// caller's flow control does the rest. Passes the answer on as it comes; one that is cut is reset,
-// so that it can't pass for whole.
+// Buffers the body until the request is started. At most kMaxEarlyBodyBytes are consumed before, so
+// that flow control stops the caller. Streams the answer to the caller. A truncated answer is
+// reset, so that the caller can't mistake it for a complete one.
 class AdmittedRequest final : public quic::RequestHandler, private EndpointEvents {
  public:
-  // Body bytes taken before the request is started. A keyed request's fingerprint covers these.
+  // Limit of body bytes consumed before the request is started. The fingerprint of a keyed request
+  // covers these bytes.
   static constexpr std::size_t kMaxEarlyBodyBytes = 64 * 1024;
 
-  // `refusals` is null for a request of this agent's own caller, who gets refusals as answers.
+  // `refusals` is null for a request of this agent's own caller, which receives a refusal as an
+  // answer.
   AdmittedRequest(requests::RequestId id, const quic::RequestHead& head,
                   quic::ResponseWriter& writer, RequestOwner& owner,
                   RefusalSink* refusals = nullptr);
   ~AdmittedRequest() override;
 
-  // Starts to take the request in: tells the owner once all that is needed has come.
+  // Starts to receive the request. Notifies the owner once the request can be decided on.
   void Begin();
 
-  // The owner's decisions.
-  // Sends the request to whoever `starter` reaches, with this time left (nothing for a stream).
-  // Returns false when nothing could be sent.
+  // The owner calls the following methods to carry out its decision.
+  // Sends the request through `starter`, with this time left until its deadline (nothing for a
+  // stream). Returns false when nothing could be sent.
   bool Start(const ExchangeStarter& starter, std::optional<base::Duration> time_left);
   void Refuse(const requests::Refusal& refusal);
   void Repeat(const requests::StoredAnswer& answer);
@@ -84,7 +87,7 @@
   bool IsKeyed() const { return is_keyed_; }
   bool IsStream() const { return is_stream_; }
   AnswerProgress Progress() const { return {has_answer_head_, answer_bytes_, waits_for_caller_}; }
-  // It came from another agent.
+  // Returns whether another agent handed the request over.
   bool WasHandedOver() const { return refusals_ != nullptr; }
 
   // Returns the hash of method, path and the first kMaxEarlyBodyBytes of the body.
@@ -114,17 +117,17 @@
   RefusalSink* refusals_;
   bool is_keyed_ = false;
   bool is_stream_ = false;
-  bool has_arrived_ = false;  // the owner was told
-  bool is_decided_ = false;   // refused, repeated, cancelled or ended: the owner knows it no more
+  bool has_arrived_ = false;  // the owner was notified
+  bool is_decided_ = false;  // refused, repeated, cancelled or ended: the owner no longer tracks it
   bool is_body_whole_ = false;
-  bool has_streamed_body_ = false;  // parts went to the endpoint's connection and were not kept
+  bool has_streamed_body_ = false;  // body parts were sent to the endpoint and not stored
   bool has_answer_head_ = false;
-  bool is_refused_by_endpoint_ = false;  // its answer says that it was not run
-  bool is_answer_too_long_ = false;      // to be kept for repeats
+  bool is_refused_by_endpoint_ = false;  // the answer says that the request was not run
+  bool is_answer_too_long_ = false;      // to be stored for repeated requests
   std::uint64_t answer_bytes_ = 0;
   bool waits_for_caller_ = false;
-  std::string early_body_;      // until it is started
-  std::size_t unconsumed_ = 0;  // body bytes the caller has no credit for yet
+  std::string early_body_;      // body bytes held until the request is started
+  std::size_t unconsumed_ = 0;  // body bytes not yet returned to the caller's flow-control window
   std::unique_ptr<Exchange> exchange_;
   requests::StoredAnswer stored_answer_;
 };
--- a/daemons/agent/src/agent_output.h
+++ b/daemons/agent/src/agent_output.h
@@ -1,4 +1,4 @@
-// What the agent's data task sends: answers to the fabric's egress and datagrams to other agents.
+// Output of the agent's data task: answers to the fabric's egress and datagrams to other agents.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 // batch flushes itself. Owned by one thread.
 class AgentOutput {
  public:
-  // Sends through `descriptor`, which stays the caller's. `registry` must outlive this.
+  // Sends through `descriptor`, which the caller still owns. `registry` must outlive this.
   AgentOutput(int descriptor, const base::SocketAddress& egress_address,
               prometheus::Registry& registry);
 
@@ -31,10 +31,10 @@
   void PassOn(const base::SocketAddress& next_hop, const wire::ProxyDatagram& datagram,
               const wire::ForwardingHeader& header);
 
-  // Sends what was gathered.
+  // Sends all queued datagrams.
   void Flush();
 
-  // Carries the counts over to the metrics.
+  // Adds the counts since the last call to the metrics.
   void PublishCounters();
 
  private:
--- a/daemons/agent/src/agent_worker.cpp
+++ b/daemons/agent/src/agent_worker.cpp
@@ -9,7 +9,8 @@
 constexpr std::size_t kBatchSize = 64;
 constexpr std::size_t kSocketBufferBytes = std::size_t{4} << 20U;
 constexpr base::Duration kTickPeriod = std::chrono::milliseconds(250);
-// Batches taken in one go, so that answers, messages and timers get their turn under full load.
+// Batches received per loop iteration. The limit lets answers, messages and timers be processed
+// under full load.
 constexpr int kBatchesPerWakeUp = 8;
 
 }  // namespace
--- a/daemons/agent/src/agent_worker.h
+++ b/daemons/agent/src/agent_worker.h
@@ -34,34 +34,34 @@
   std::string payload;
 };
 
-// What other tasks send to the data task: a newer view, a request to drain, a newer certificate, a
-// message of another agent.
+// A message from another task to the data task: a newer view, a request to drain, a newer
+// certificate or a message of another agent.
 using AgentMessage =
     std::variant<ViewPointer, StartDraining, quic::CertificateCredentials, PeerMessage>;
 
-// What the data task says of itself, a few times a second.
+// Status that the data task reports a few times per second.
 struct AgentStatus {
   routing::AgentReport report;  // for the planner
-  bool is_named = false;        // the tables still name this agent
+  bool is_named = false;        // the tables still list this agent
 };
 
-// What the data task is made of.
+// Parameters of the data task.
 struct AgentWorkerSettings {
   base::SocketAddress data_address;
   base::SocketAddress egress_address;
   base::ServiceId service;
-  std::string endpoint = {};  // name in the settings tree; empty: no settings of its own
+  std::string endpoint = {};  // name in the settings tree; empty if it has no settings there
 };
 
 // Receives datagrams from balancers and other agents, decodes them and gives them to the service's
-// module. Takes no lock; other threads reach it by Send() only.
+// module. Takes no lock; other threads communicate with it through Send() only.
 class AgentWorker {
  public:
-  // Makes the module on the data task's loop; called once, from the constructor.
+  // Creates the module on the data task's loop. Called once, from the constructor.
   using ModuleFactory =
       std::function<std::unique_ptr<ServiceModule>(event_base* loop, AgentOutput& output)>;
 
-  // Is called in the data task's thread and must not block.
+  // Called in the data task's thread; must not block.
   using StatusHandler = std::function<void(AgentStatus status)>;
 
   // Binds the data port; throws std::system_error, naming the address, when that fails.
@@ -71,7 +71,7 @@
   // Starts the task.
   void Start() { task_.Start(); }
 
-  // Ends the thread and waits for it. Open flows are cut.
+  // Stops the thread and waits for it to end. Open flows are broken off.
   void Stop();
 
   // Sends the task a message. Returns false when its inbox is full: try again later. Any thread.
--- a/daemons/agent/src/datagram_service.cpp
+++ b/daemons/agent/src/datagram_service.cpp
@@ -112,7 +112,7 @@
         tasks::Watch::Readable(loop_, socket.Descriptor(), [this, flow] { RelayAnswers(flow); });
     sockets_[flow.value()].emplace(EndpointSocket{std::move(socket), std::move(readable)});
     return true;
-  } catch (const std::system_error&) {  // out of descriptors: counted by the caller
+  } catch (const std::system_error&) {  // no file descriptors left; the caller counts the failure
     return false;
   }
 }
--- a/daemons/agent/src/datagram_service.h
+++ b/daemons/agent/src/datagram_service.h
@@ -23,17 +23,17 @@
 
 // Why a datagram was lost between the agent and its endpoint.
 enum class EndpointFailure : std::uint8_t {
-  kNoSocket,        // the system gave no socket for a new flow: the flow is closed again
-  kNotSent,         // the system did not take the datagram, or nobody listens at the endpoint
-  kOversizeAnswer,  // an answer longer than the data path takes
+  kNoSocket,        // no socket could be opened for a new flow, which is closed again
+  kNotSent,         // sending failed, or no process listens at the endpoint
+  kOversizeAnswer,  // an answer exceeds the data path's maximum length
 };
 
 inline constexpr std::size_t kEndpointFailureCount = 3;
 
 std::string_view ToString(EndpointFailure failure);
 
-// Relays flows to the endpoint and its answers to the fabric's egress. The flow core decides; this
-// owns the sockets. Runs in the data task's thread.
+// Relays flows to the endpoint and its answers to the fabric's egress. The flow core makes the
+// routing decisions; this class owns the sockets. Runs in the data task's thread.
 class DatagramService final : public ServiceModule {
  public:
   // `loop` and `output` must outlive this.
--- a/daemons/agent/src/departed_agents.h
+++ b/daemons/agent/src/departed_agents.h
@@ -1,4 +1,4 @@
-// Agents that were in a service's table and no longer are.
+// Agents that were removed from a service's table.
 #pragma once
 
 #include <cstddef>
@@ -12,15 +12,15 @@
 
 namespace gaugevalve::agent {
 
-// Remembers when each agent left, so that the callers it had can be told that their connections are
-// gone. An agent never seen in a table is not known to have left: it may be newer than the table.
+// Remembers when each agent left, so that its callers can be told that their connections no longer
+// exist. An agent never seen in a table is not known to have left: it may be newer than the table.
 // Holds at most kCapacity agents; when full it forgets the one that left first, whose callers then
 // wait for their own timeouts.
 class DepartedAgents {
  public:
   static constexpr std::size_t kCapacity = 256;
 
-  // Takes note of a newer list of agents.
+  // Updates the records from a newer list of agents.
   void Update(const std::vector<routing::AgentEntry>& agents, base::TimePoint now);
 
   // Returns whether the agent left at least `grace` ago and has not come back.
--- a/daemons/agent/src/endpoint_client.cpp
+++ b/daemons/agent/src/endpoint_client.cpp
@@ -60,7 +60,7 @@
 
 std::unique_ptr<EndpointExchange> EndpointClient::Start(const quic::RequestHead& head,
                                                         EndpointEvents& events) {
-  // The one used last: those that the endpoint is about to close stay unused.
+  // Prefers the connection used last: the endpoint may be about to close those idle for longer.
   const auto idle = std::find_if(connections_.rbegin(), connections_.rend(),
                                  [](const auto& connection) { return connection->IsIdle(); });
   if (idle != connections_.rend()) {
@@ -71,7 +71,7 @@
   }
   try {
     connections_.push_back(std::make_unique<EndpointConnection>(*this, loop_, endpoint_, options_));
-  } catch (const std::runtime_error&) {  // out of descriptors: nothing was sent
+  } catch (const std::runtime_error&) {  // no file descriptors left; nothing was sent
     return nullptr;
   }
   return connections_.back()->Begin(head, events);
--- a/daemons/agent/src/endpoint_client.h
+++ b/daemons/agent/src/endpoint_client.h
@@ -20,13 +20,13 @@
 
 class EndpointConnection;
 
-// Why an exchange got no whole answer.
+// Why an exchange received no complete answer.
 struct ExchangeFailure {
   enum class Kind : std::uint8_t {
-    kNotSent,          // no connection: not a byte of the request left the agent
+    kNotSent,          // no connection: no byte of the request was sent
     kBroken,           // the connection ended before the answer's head: the outcome is unknown
     kCutAnswer,        // the connection ended within the answer
-    kMalformedAnswer,  // what came is no answer in HTTP/1.1
+    kMalformedAnswer,  // the received bytes are not a valid HTTP/1.1 answer
   };
 
   Kind kind = Kind::kBroken;
@@ -36,8 +36,8 @@
 // Returns the kind's name in logs and metrics, in snake_case.
 std::string_view ToString(ExchangeFailure::Kind kind);
 
-// Takes what comes of one exchange. Exactly one of OnAnswerEnd() and OnExchangeFailed() is called,
-// last, unless the exchange is destroyed first, which each method may do.
+// Receives the events of one exchange. Exactly one of OnAnswerEnd() and OnExchangeFailed() is
+// called, last, unless the exchange is destroyed first, which each method may do.
 class EndpointEvents {
  public:
   virtual ~EndpointEvents() = default;
@@ -45,15 +45,16 @@
   virtual void OnAnswerHead(const quic::ResponseHead& head) = 0;
   // The bytes are valid during the call only.
   virtual void OnAnswerBody(std::span<const std::uint8_t> bytes) = 0;
-  // The answer is whole.
+  // The answer is complete.
   virtual void OnAnswerEnd() = 0;
   virtual void OnExchangeFailed(const ExchangeFailure& failure) = 0;
-  // There is room again after WriteBody() returned false.
+  // The send buffer has room again after WriteBody() returned false.
   virtual void OnRequestWritable() = 0;
 };
 
-// One request at the endpoint. Destroying it before its answer is whole cancels it: its connection
-// is closed, so a late answer reaches nobody. Otherwise the connection may serve another exchange.
+// One request at the endpoint. Destroying it before its answer is complete cancels it: its
+// connection is closed, so that a late answer is discarded. Otherwise the connection may serve
+// another exchange.
 class EndpointExchange final : public Exchange {
  public:
   explicit EndpointExchange(EndpointConnection& connection) : connection_(&connection) {}
@@ -75,9 +76,10 @@
 struct EndpointClientOptions {
   std::size_t max_connections = 2000;         // in use at once; more requests are not sent
   std::size_t max_idle_connections = 32;      // kept for the next requests
-  std::size_t write_high_water = 256 * 1024;  // bytes of a request's body that wait to be sent
+  std::size_t write_high_water = 256 * 1024;  // unsent bytes of a request's body
   base::Duration connect_timeout = std::chrono::seconds(2);
-  // Shorter than servers wait, so that a request seldom meets a connection that is being closed.
+  // Shorter than the usual idle time-out of servers, so that a request is rarely sent on a
+  // connection that the server is closing.
   base::Duration idle_timeout = std::chrono::seconds(2);
 };
 
--- a/daemons/agent/src/endpoint_connection.cpp
+++ b/daemons/agent/src/endpoint_connection.cpp
@@ -23,11 +23,11 @@
                                        const base::SocketAddress& endpoint,
                                        const EndpointClientOptions& options)
     : client_(client), options_(options) {
-  // Deferred: nothing of ours runs from within a call of ours.
+  // Deferred callbacks: libevent calls none of them from within a call that this class makes.
   buffered_.reset(
       bufferevent_socket_new(loop, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
   if (buffered_ == nullptr) {
-    throw std::runtime_error("libevent: no bufferevent");
+    throw std::runtime_error("libevent: cannot create a bufferevent");
   }
   bufferevent_setcb(buffered_.get(), OnReadable, OnWritable, OnEvent, this);
   bufferevent_setwatermark(buffered_.get(), EV_READ, 0, kReadHighWater);
@@ -38,7 +38,7 @@
   const socklen_t length = endpoint.ToNative(native);
   if (bufferevent_socket_connect(buffered_.get(), reinterpret_cast<sockaddr*>(&native),
                                  static_cast<int>(length)) != 0) {
-    throw std::runtime_error("no connection to the endpoint " + endpoint.ToString());
+    throw std::runtime_error("cannot connect to the endpoint " + endpoint.ToString());
   }
   bufferevent_enable(buffered_.get(), EV_READ | EV_WRITE);
 }
@@ -163,7 +163,7 @@
 
 void EndpointConnection::ReadInput() {
   if (state_ == State::kIdle && InputLength() > 0) {
-    Close();  // an answer that nobody asked for
+    Close();  // an answer without a request
     return;
   }
   evbuffer* input = bufferevent_get_input(buffered_.get());
@@ -200,7 +200,7 @@
   }
 }
 
-// Keeps the connection only where nothing of this exchange can still come or go on it.
+// Keeps the connection only if no more data of this exchange can be sent or received on it.
 void EndpointConnection::FinishAnswer() {
   const bool is_sent =
       is_request_whole_ && evbuffer_get_length(bufferevent_get_output(buffered_.get())) == 0;
@@ -225,7 +225,8 @@
   if (!is_connected_) {
     OnPeerClosed("the connection timed out");
   } else if (state_ == State::kBusy) {
-    // The idle time-out had passed when an exchange took the connection, and has stopped reading.
+    // The idle time-out expired just before an exchange took the connection. libevent has disabled
+    // reading, so it is enabled again.
     if (parser_->GetState() != Http1ResponseParser::State::kPaused) {
       bufferevent_enable(buffered_.get(), EV_READ);
     }
@@ -241,7 +242,7 @@
   }
   is_peer_closed_ = true;
   if (parser_->GetState() == Http1ResponseParser::State::kPaused && InputLength() > 0) {
-    return;  // the rest is parsed when reading goes on
+    return;  // the rest is parsed when reading resumes
   }
   if (!is_connected_) {
     Fail(ExchangeFailure::Kind::kNotSent, reason);
--- a/daemons/agent/src/endpoint_connection.h
+++ b/daemons/agent/src/endpoint_connection.h
@@ -16,7 +16,7 @@
 
 namespace gaugevalve::agent {
 
-// Carries one exchange after the other. Owned by its EndpointClient, which destroys it from the
+// Carries one exchange at a time. Owned by its EndpointClient, which destroys it from the
 // loop once it is over; until then a connection that is over does nothing.
 class EndpointConnection final : public Http1ResponseSink {
  public:
@@ -38,7 +38,7 @@
   void FinishBody();
   void PauseReading();
   void ResumeReading();
-  // The exchange is destroyed.
+  // Called when the exchange is destroyed.
   void Abandon();
 
   // Http1ResponseSink
@@ -72,16 +72,16 @@
   State state_ = State::kIdle;
   bool is_connected_ = false;
 
-  // The present exchange.
+  // State of the current exchange.
   EndpointExchange* exchange_ = nullptr;
   EndpointEvents* events_ = nullptr;
   quic::RequestHead head_;
   std::optional<Http1ResponseParser> parser_;
-  std::optional<BodyFraming> framing_;  // once the head is written
+  std::optional<BodyFraming> framing_;  // set once the request's head is written
   bool is_request_whole_ = false;
   bool is_write_blocked_ = false;
-  bool has_head_ = false;        // of the answer
-  bool is_peer_closed_ = false;  // with input still to be parsed
+  bool has_head_ = false;        // the answer's head has arrived
+  bool is_peer_closed_ = false;  // the endpoint closed the connection; input remains to be parsed
 };
 
 }  // namespace gaugevalve::agent
--- a/daemons/agent/src/exchange.h
+++ b/daemons/agent/src/exchange.h
@@ -1,4 +1,4 @@
-// One request under way at whoever runs it.
+// A request that is running at the endpoint or at another agent.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 class EndpointEvents;
 
-// What the caller's side needs of it. Destroying it before its answer is whole cancels it.
+// The caller's side of a running request. Destroying it before its answer is complete cancels it.
 class Exchange {
  public:
   Exchange() = default;
@@ -20,15 +20,16 @@
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
-  // Writes a part of the request's body. Returns false when much of it still waits to be sent: wait
-  // for OnRequestWritable().
+  // Writes a part of the request's body. Returns false when the send buffer is full: the caller
+  // must then wait for OnRequestWritable().
   virtual bool WriteBody(std::span<const std::uint8_t> bytes) = 0;
 
-  // The request is whole. Nothing is sent to an endpoint before the first WriteBody() or this.
+  // Marks the request as complete. Nothing is sent to an endpoint before the first WriteBody() or
+  // this.
   virtual void FinishBody() = 0;
 
-  // Stops and restarts the answer, so that its sender has to wait. A few parts that were on their
-  // way may still come.
+  // Pause or resume the answer, which applies backpressure to its sender. A few parts that are
+  // already in transit may still arrive.
   virtual void PauseReading() = 0;
   virtual void ResumeReading() = 0;
 };
--- a/daemons/agent/src/hand_over_service.cpp
+++ b/daemons/agent/src/hand_over_service.cpp
@@ -15,7 +15,7 @@
 
 using requests::proto::HandOverRequestHead;
 
-// How a request that left ended, for the metric.
+// How a request handed over to another agent ended. Values index the metric's labels.
 enum class AwayEnd : std::uint8_t { kAnswered, kNotRun, kOutcomeUnknown, kCut, kCancelled };
 
 std::string_view AsText(std::span<const std::uint8_t> bytes) {
@@ -53,7 +53,8 @@
   return message;
 }
 
-// The time left is the offer's, by the executor's clock: the field was written when it left.
+// Replaces the time-out field by the offer's time left, which is computed with the executor's
+// clock. The field's own value dates from when the request was sent.
 quic::RequestHead DecodeHead(const requests::RunOffered& offer) {
   quic::RequestHead head{offer.head.method(), offer.head.scheme(), offer.head.authority(),
                          offer.head.path(), DecodeFields(offer.head.fields())};
@@ -171,7 +172,7 @@
 
 void HandOverService::Cancel(requests::RequestId id) {
   if (left_.erase(id) == 0) {
-    return;  // it has ended
+    return;  // the request has already ended
   }
   ended_.Add(AwayEnd::kCancelled);
   requests::HandOverActions actions;
@@ -211,7 +212,7 @@
 void HandOverService::Handle(const requests::OriginEvent& event) {
   const auto found = left_.find(event.request);
   if (found == left_.end()) {
-    return;  // cancelled meanwhile
+    return;  // cancelled in the meantime
   }
   EndpointEvents& events = *found->second;
   if (std::holds_alternative<requests::BodyWritable>(event.what)) {
@@ -231,8 +232,8 @@
   } else {
     left_.erase(found);
     ended_.Add(AwayEnd::kCut);
-    events.OnExchangeFailed(
-        {ExchangeFailure::Kind::kCutAnswer, "the agent that ran it is gone or its answer was cut"});
+    events.OnExchangeFailed({ExchangeFailure::Kind::kCutAnswer,
+                             "the executing agent is gone or its answer was truncated"});
   }
 }
 
--- a/daemons/agent/src/hand_over_service.h
+++ b/daemons/agent/src/hand_over_service.h
@@ -1,5 +1,5 @@
-// The shell around requests::HandOver: requests that leave this agent for another, and those that
-// come from others.
+// Connects requests::HandOver with the agent: requests that this agent hands over to another, and
+// requests that others hand over to it.
 #pragma once
 
 #include <event2/event.h>
@@ -25,21 +25,22 @@
 
 class RunForPeer;
 
-// Sends a message to another agent; it may be lost.
+// Sends a message to another agent. Delivery is not guaranteed.
 using PeerSender = std::function<void(base::NodeId destination, std::string payload)>;
 
-// Who owns the requests on both sides. Outlives the HandOverService.
+// Owns the requests of both directions. Must outlive the HandOverService.
 class HandOverOwner : public RequestOwner {
  public:
-  // Returns the id of a request that comes from another agent.
+  // Returns a new id for a request that another agent handed over.
   virtual requests::RequestId NextRequestId() = 0;
 
-  // No peer gave an answer to this request of ours.
+  // A request that this agent handed over was refused, or its outcome is unknown.
   virtual void OnRefusedElsewhere(requests::RequestId id, const requests::Refusal& refusal) = 0;
 };
 
-// Runs in the data task's thread. What the core says is acted upon from the loop or from a call of
-// OnMessage(), OnTimer() and SetTable(), never within a call of a request, which it may end.
+// Runs in the data task's thread. Events of the core are handled from the loop or within
+// OnMessage(), OnTimer() and SetTable(). They are never handled within a call that a request makes,
+// since an event may end that request.
 class HandOverService {
  public:
   // `loop`, `owner` and `random` must outlive this.
@@ -50,10 +51,10 @@
   HandOverService(const HandOverService&) = delete;
   HandOverService& operator=(const HandOverService&) = delete;
 
-  // Offers the request to a peer, if one will do. Returns false, having done nothing, when not.
+  // Offers the request to a peer. Returns false and changes nothing if no peer is suitable.
   bool Offer(AdmittedRequest& request, requests::HandOverNeed need, base::TimePoint deadline);
 
-  // Returns why a request should run elsewhere, or nothing.
+  // Returns why a request should be handed over, or nothing if it should run here.
   std::optional<requests::HandOverNeed> FindHandOverNeed(
       const requests::LocalSituation& situation) const {
     return requests::FindHandOverNeed(situation, limits_);
@@ -64,13 +65,14 @@
   void OnTimer(const requests::LocalLoad& load);
   void PublishCounters();
 
-  // For the exchanges of requests that left.
+  // Called by the exchanges of requests handed over to other agents.
   bool WriteBody(requests::RequestId id, std::span<const std::uint8_t> bytes);
   void FinishBody(requests::RequestId id);
   void SetAnswerPaused(requests::RequestId id, bool is_paused);
   void Cancel(requests::RequestId id);
 
-  // For the runs of requests that came. A run that is over is destroyed later, from the loop.
+  // Called by the runs of requests that other agents handed over. A finished run is destroyed
+  // later, from the loop.
   requests::HandOverExecutor& Executor() { return core_.Executor(); }
   base::TimePoint Now() const { return clock_.Now(); }
   void Perform(const requests::HandOverActions& actions);
--- a/daemons/agent/src/handed_over_exchange.h
+++ b/daemons/agent/src/handed_over_exchange.h
@@ -8,7 +8,7 @@
 
 class HandOverService;
 
-// Passes calls on to the HandOverService, which must outlive it.
+// Forwards calls to the HandOverService, which must outlive it.
 class HandedOverExchange final : public Exchange {
  public:
   HandedOverExchange(requests::RequestId id, HandOverService& service)
--- a/daemons/agent/src/http1_request.h
+++ b/daemons/agent/src/http1_request.h
@@ -1,4 +1,4 @@
-// A request in HTTP/1.1 (RFC 9112), as it is written to an endpoint.
+// Serializes requests to an endpoint as HTTP/1.1 (RFC 9112).
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,11 @@
 
 namespace gaugevalve::agent {
 
-// How the end of a request's body is told.
+// How the end of a request's body is marked.
 enum class BodyFraming : std::uint8_t {
   kNone,     // there is no body
   kLength,   // by the request's own Content-Length
-  kChunked,  // chunk by chunk
+  kChunked,  // by the chunked transfer coding
 };
 
 // Returns the framing of a request whose body has begun, or, when `is_empty`, has ended at once.
--- a/daemons/agent/src/http1_response_parser.cpp
+++ b/daemons/agent/src/http1_response_parser.cpp
@@ -14,7 +14,7 @@
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 constexpr std::size_t kMaxFields = 200;
-constexpr int kSkipBody = 1;  // what http-parser takes from on_headers_complete
+constexpr int kSkipBody = 1;  // return value of on_headers_complete, defined by http-parser
 
 constexpr std::uint64_t kNoLength = std::numeric_limits<std::uint64_t>::max();
 
@@ -105,7 +105,8 @@
 
 void Http1ResponseParser::FinishField() {
   quic::HeaderField field = std::exchange(field_, {});
-  // Trailer fields are dropped: nothing here needs them, and intermediaries may (RFC 9110, 6.5.1).
+  // Trailer fields are dropped: nothing here needs them, and RFC 9110, section 6.5.1, allows
+  // intermediaries to drop them.
   if (!is_in_trailer_ && !field.name.empty() && !IsConnectionField(field.name) &&
       fields_.size() <= kMaxFields) {
     fields_.push_back(std::move(field));
@@ -117,7 +118,7 @@
   last_was_value_ = false;
   const int status = static_cast<int>(parser_.status_code);
   if (status == kSwitchingProtocols) {
-    return Fail("the endpoint switches to another protocol");
+    return Fail("the endpoint switched to another protocol");
   }
   if (status < kFirstFinalStatus) {
     fields_.clear();
@@ -131,7 +132,7 @@
   const bool is_framed =
       (parser_.flags & F_CHUNKED) != 0 || parser_.content_length != kNoLength || has_no_body;
   if (!is_framed) {
-    return Fail("neither Content-Length nor chunked: a half answer would look whole");
+    return Fail("neither Content-Length nor chunked: a truncated answer could not be detected");
   }
   sink_.OnResponseHead({status, std::exchange(fields_, {})});
   return is_head_request_ ? kSkipBody : 0;
@@ -143,7 +144,7 @@
   }
   keeps_connection_ = http_should_keep_alive(&parser_) != 0;
   state_ = State::kWhole;
-  http_parser_pause(&parser_, 1);  // what follows is not to be taken for a second answer
+  http_parser_pause(&parser_, 1);  // bytes that follow must not be parsed as a second answer
   return 0;
 }
 
--- a/daemons/agent/src/http1_response_parser.h
+++ b/daemons/agent/src/http1_response_parser.h
@@ -1,4 +1,4 @@
-// Reads an endpoint's answer in HTTP/1.1 (RFC 9112) as it comes.
+// Incremental parser for an endpoint's HTTP/1.1 answer (RFC 9112).
 #pragma once
 
 #include <http_parser.h>
@@ -13,13 +13,13 @@
 
 namespace gaugevalve::agent {
 
-// Takes what the parser finds. May stop the parser from within by Http1ResponseParser::Pause().
+// Receives the parsed parts. Its methods may stop the parser by Http1ResponseParser::Pause().
 class Http1ResponseSink {
  public:
   virtual ~Http1ResponseSink() = default;
 
   // The head of the answer, names in lower case, without the fields that concern one connection
-  // only (RFC 9110, section 7.6.1). Informational answers (1xx) are passed over.
+  // only (RFC 9110, section 7.6.1). Informational answers (1xx) are skipped.
   virtual void OnResponseHead(const quic::ResponseHead& head) = 0;
 
   // A part of the body; valid during the call.
@@ -27,13 +27,14 @@
 };
 
 // Parses one answer with the http-parser library. Answers that end with their connection only
-// (neither Content-Length nor chunked) are malformed here: a whole one can't be told from a half.
+// (neither Content-Length nor chunked) are malformed here: a complete answer can't be told from a
+// truncated one.
 class Http1ResponseParser {
  public:
   enum class State : std::uint8_t {
     kReading,    // more bytes are needed
     kPaused,     // Pause() was called: pass the rest again later
-    kWhole,      // the answer is complete; bytes that were not taken belong to no answer
+    kWhole,      // the answer is complete; unconsumed bytes belong to no answer
     kMalformed,  // see Fault()
   };
 
@@ -43,7 +44,8 @@
   Http1ResponseParser(const Http1ResponseParser&) = delete;
   Http1ResponseParser& operator=(const Http1ResponseParser&) = delete;
 
-  // Parses bytes and returns how many were taken. Not to be called once whole or malformed.
+  // Parses bytes and returns how many were consumed. Must not be called once the answer is complete
+  // or malformed.
   std::size_t Parse(std::span<const std::uint8_t> bytes);
 
   // Makes Parse() return early; callable from the sink's methods.
@@ -55,7 +57,7 @@
   // True once any byte of an answer has been seen.
   bool HasBegun() const { return has_begun_; }
 
-  // Once whole: whether the endpoint keeps the connection.
+  // Once the answer is complete: returns whether the endpoint keeps the connection open.
   bool KeepsConnection() const { return keeps_connection_; }
 
   // Why the answer is malformed, for logs.
--- a/daemons/agent/src/http3_drop.h
+++ b/daemons/agent/src/http3_drop.h
@@ -1,4 +1,4 @@
-// Why an http3 agent doesn't take a datagram, besides the reasons of flow::DropReason.
+// Reasons for which an http3 agent drops a datagram, in addition to flow::DropReason.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 // One reason each; counted in the same metric as flow::DropReason.
 enum class Http3Drop : std::uint8_t {
   kNotQuic,            // no QUIC header
-  kUnknownConnection,  // of a connection that no agent known here has
-  kRefusedPacket,      // what can't be the first packet of a connection
+  kUnknownConnection,  // belongs to a connection that no known agent has
+  kRefusedPacket,      // can't be the first packet of a connection
 };
 
 inline constexpr std::size_t kHttp3DropCount = 3;
--- a/daemons/agent/src/http3_service.cpp
+++ b/daemons/agent/src/http3_service.cpp
@@ -11,11 +11,11 @@
 namespace gaugevalve::agent {
 namespace {
 
-// How long an agent must be gone before its callers are told to connect anew. Longer than a stop of
-// a process or a lagging table should last.
+// How long an agent must be gone before its callers' connections are reset. Longer than a pause of
+// a process or the delay of a table should last.
 constexpr std::chrono::seconds kDepartureGrace{10};
 
-// A datagram to the agent that issued its ID is passed on once; a second time means that two agents
+// A datagram is passed on once to the agent that issued its ID. A second hop means that two agents
 // disagree about addresses.
 constexpr std::uint8_t kMaxIssuerHops = flow::kMaxHops;
 
@@ -24,8 +24,8 @@
   return &prometheus::BuildGauge().Name(name).Help(help).Register(registry).Add({});
 }
 
-// A new life begins its nonces elsewhere than the one before, should both share the short
-// incarnation.
+// Derives the first nonce from the full incarnation, so that two incarnations with the same short
+// form start at different nonces.
 std::uint32_t FirstNonce(const flow::AgentIdentity& identity) {
   return static_cast<std::uint32_t>(
       base::HashPair(identity.node.value(), identity.incarnation.value()));
@@ -34,7 +34,7 @@
 bool MayOpen(const connection_id::InvariantHeader& packet) {
   const bool is_other_version =
       packet.is_long && packet.version != connection_id::kQuicVersion1 && packet.version != 0;
-  return packet.is_initial || is_other_version;  // the latter for version negotiation
+  return packet.is_initial || is_other_version;  // other versions lead to version negotiation
 }
 
 quic::Path PathOf(const wire::ProxyDatagram& datagram) {
@@ -159,12 +159,12 @@
   UpdateTimer();
 }
 
-// The ID is this agent's, of this life or a former one, but the connection isn't here: nobody else
-// can have it.
+// Handles an ID that this or an earlier incarnation of this agent issued, without an open
+// connection. No other agent can have the connection.
 void Http3Service::HandleOfOwnIssue(const connection_id::InvariantHeader& packet,
                                     const wire::ProxyDatagram& datagram, base::TimePoint now) {
   if (packet.is_initial) {
-    Serve(datagram, now);  // a caller that answers a Retry
+    Serve(datagram, now);  // the caller's response to a Retry packet
   } else if (!packet.is_long) {
     Reset(datagram, now);
   } else {
@@ -228,7 +228,7 @@
   FinishOwnActivity();
 }
 
-// Only first packets go by bucket, so only connections in handshake count as held in one.
+// Only first packets are routed by bucket, so only connections in handshake are counted per bucket.
 void Http3Service::FillReport(routing::AgentReport& report) const {
   const flow::AgentIdentity& identity = ownership_.Identity();
   report.service = identity.service;
@@ -248,7 +248,7 @@
   }
 }
 
-// Tells of answers whose callers have acknowledged nothing for a while.
+// Logs answers for which the caller has acknowledged no data for kStallTime.
 void Http3Service::LogUnacknowledged(base::TimePoint now) {
   const std::vector<quic::StreamOutput> outputs = server_.WaitingOutputs();
   std::vector<decltype(unacknowledged_)::Item> items;
--- a/daemons/agent/src/http3_service.h
+++ b/daemons/agent/src/http3_service.h
@@ -1,4 +1,4 @@
-// The module for `http3` services: ends QUIC and HTTP/3 and gives the requests to a handler.
+// The module for `http3` services: terminates QUIC and HTTP/3 and passes requests to a handler.
 #pragma once
 
 #include <event2/event.h>
@@ -27,7 +27,7 @@
 
 namespace gaugevalve::agent {
 
-// What an Http3Service is made of.
+// Parameters of an Http3Service.
 struct Http3ServiceSettings {
   flow::AgentIdentity identity;
   flow::OwnershipSettings ownership;
@@ -36,13 +36,15 @@
   quic::CertificateCredentials credentials;
 };
 
-// Which agent serves a datagram:
-// 1. one that has a connection by its ID;
-// 2. else the agent that issued the ID, if the table lists it: the datagram is passed to it, once;
-// 3. else, for a first packet, the agent that the bucket rules of libs/flow name, keyed by the ID;
-// 4. else nobody: its connection is gone. The caller is told so (stateless reset) only if the agent
-//    that issued the ID was seen to leave some time ago, or is this one; a table that lags must not
-//    cut a connection of an agent it doesn't know yet, nor one that was silent for a moment.
+// Serves each datagram by the first rule that applies:
+// 1. This agent serves it if it has a connection with the datagram's connection ID.
+// 2. If the table lists the agent that issued the ID, the datagram is passed on to it, once.
+// 3. A first packet goes to the agent that the bucket rules of libs/flow choose, keyed by the ID.
+// 4. Otherwise the connection no longer exists. The caller gets a stateless reset only if this
+// agent
+//    issued the ID, or if the agent that did left the table at least a grace period ago. An
+//    outdated table must not end a connection of an agent that it doesn't list yet, nor one of an
+//    agent that was silent for a moment.
 //
 // Runs in the data task's thread.
 class Http3Service final : public ServiceModule, private quic::DatagramSink {
@@ -97,7 +99,7 @@
   std::shared_ptr<const connection_id::Codec> codec_;
   std::shared_ptr<const routing::BucketTable> table_;
   DepartedAgents departed_;
-  // Answers wait here until the output has sent them.
+  // Payloads of answers, kept until the output has sent them.
   std::vector<std::array<std::uint8_t, tasks::kMaxDatagramSize>> answers_;
   std::size_t used_answers_ = 0;
   tasks::Timer expiry_timer_;
@@ -110,7 +112,7 @@
   daemon::PublishedCounter refused_;
   daemon::PublishedCounter retries_;
   daemon::PublishedCounter resets_;
-  // Streams of callers, by how many bytes of the answer they have acknowledged.
+  // Tracks how many bytes of the answer have been acknowledged on each caller's stream.
   ProgressMonitor<std::pair<base::SocketAddress, std::int64_t>> unacknowledged_;
   daemon::PublishedCounter unacknowledged_count_;
   prometheus::Gauge* connections_;
--- a/daemons/agent/src/http3_setup.h
+++ b/daemons/agent/src/http3_setup.h
@@ -1,4 +1,4 @@
-// What an agent of an http3 service reads from files before it starts, and again when told to.
+// Files that an agent of an http3 service reads at start and on a reload request.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 namespace gaugevalve::agent {
 
-// The files' contents, ready for use.
+// Parsed contents of the files.
 struct Http3Files {
   std::shared_ptr<const connection_id::Codec> codec;
   quic::CertificateCredentials credentials;
@@ -22,8 +22,8 @@
 // files that the settings don't name.
 Http3Files LoadHttp3Files(const settings::NodeSettings& node);
 
-// Reads the certificate and key again. Returns null when they can't be used: each finding was
-// written to the log, and what was loaded before should go on serving.
+// Reloads the certificate and key. Returns null when they can't be used: each finding is then
+// logged, and the caller should keep the certificate and key loaded before.
 quic::CertificateCredentials ReloadCertificate(const settings::NodeSettings& node);
 
 }  // namespace gaugevalve::agent
--- a/daemons/agent/src/main.cpp
+++ b/daemons/agent/src/main.cpp
@@ -1,4 +1,4 @@
-// gaugevalve-agent: runs beside one endpoint, owns its flows and relays them.
+// gaugevalve-agent: runs beside one endpoint, owns the endpoint's flows and relays them.
 
 #include <sys/resource.h>
 
@@ -45,7 +45,7 @@
 constexpr base::Duration kDropLogPeriod = std::chrono::seconds(10);
 constexpr base::Duration kDrainPollPeriod = std::chrono::milliseconds(100);
 
-// Each flow has a socket, so the process takes all the descriptors it may have.
+// Raises the soft limit of file descriptors to the hard limit, since each flow needs a socket.
 void RaiseDescriptorLimit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
@@ -54,7 +54,7 @@
   }
 }
 
-// What a running agent consists of, on the main thread's loop.
+// Components of a running agent. Uses the main thread's loop.
 class Agent {
  public:
   explicit Agent(const daemon::CommandLine& command_line)
@@ -81,7 +81,7 @@
             loop_.get(), [this] { StartDrain(); }, [this] { End(daemon::kForcedStop); }),
         reload_watch_(tasks::Watch::Signal(loop_.get(), SIGHUP, [this] { ReloadCertificate(); })) {}
 
-  // Runs until the process is to end; returns its exit code.
+  // Runs until the process should end. Returns the exit code.
   int Run() {
     PublishFirstView();
     worker_.Start();
@@ -100,7 +100,7 @@
  private:
   using AgentStatus = agent::AgentStatus;
 
-  // What the data task sends to other agents through the control task.
+  // A message that the data task sends to another agent through the control task.
   struct OutgoingPeerMessage {
     base::NodeId destination;
     std::string payload;
@@ -142,7 +142,7 @@
     }
   }
 
-  // With static settings there is one view for ever; otherwise the control task sends newer ones.
+  // With static settings the first view never changes. Otherwise the control task sends newer ones.
   void PublishFirstView() {
     if (node_.static_settings) {
       worker_.Send(daemon::MakeStaticView(node_, identity_.incarnation));
@@ -191,7 +191,7 @@
     drain_timer_.StartPeriodic(kDrainPollPeriod);
   }
 
-  // An agent that still has no flow is needed while tables name it: others ask it for flows.
+  // An agent without flows must keep running while tables list it, since others ask it for flows.
   void PollDrain() {
     const bool is_draining = status_.report.state == routing::AgentState::kDraining;
     const bool is_released = !status_.is_named || node_.static_settings.has_value();
@@ -226,7 +226,7 @@
   std::shared_ptr<prometheus::Registry> registry_;
   AgentStatus status_;
   tasks::Inbox<AgentStatus> statuses_;
-  tasks::Inbox<OutgoingPeerMessage> peer_outbox_;  // a full one loses messages: they are repeated
+  tasks::Inbox<OutgoingPeerMessage> peer_outbox_;  // drops messages when full; senders repeat them
   agent::AgentWorker worker_;
   telemetry::AdminServer admin_;
   std::unique_ptr<daemon::ControlTask> control_;  // null with static settings
--- a/daemons/agent/src/progress_monitor.h
+++ b/daemons/agent/src/progress_monitor.h
@@ -1,4 +1,4 @@
-// Which of many things make no progress.
+// Detects items that make no progress.
 #pragma once
 
 #include <chrono>
@@ -11,23 +11,23 @@
 
 namespace gaugevalve::agent {
 
-// Decision core: compares counts from call to call. `Key` names what is counted and has an order.
-// Not thread-safe.
+// Compares the items' counts between calls; does no I/O. `Key` identifies an item and must be
+// ordered. Not thread-safe.
 template <class Key>
 class ProgressMonitor {
  public:
-  // What makes no progress for so long is stalled: many times a round trip, and the loss timers of
-  // a peer that lives.
+  // An item without progress for this time is stalled. It is many times the round-trip time and the
+  // loss timers of a live peer.
   static constexpr base::Duration kStallTime = std::chrono::seconds(5);
 
-  // One thing under way, and how far it is.
+  // An item and its progress.
   struct Item {
     Key key;
     std::uint64_t count = 0;
   };
 
-  // Returns what has become stalled since the last call, each once for each stall. What isn't among
-  // `items` is forgotten.
+  // Returns the items that have become stalled since the last call. Each stall is returned once.
+  // Items missing from `items` are no longer tracked.
   std::vector<Key> TakeStalled(const std::vector<Item>& items, base::TimePoint now) {
     std::vector<Key> stalled;
     std::map<Key, Progress> present;
@@ -52,7 +52,7 @@
     bool is_told = false;
   };
 
-  std::map<Key, Progress> progress_;  // of the last call
+  std::map<Key, Progress> progress_;  // as of the last call
 };
 
 }  // namespace gaugevalve::agent
--- a/daemons/agent/src/request_backend.h
+++ b/daemons/agent/src/request_backend.h
@@ -1,4 +1,4 @@
-// What an Http3Service gives its callers' requests to.
+// Interface through which an Http3Service passes on its callers' requests.
 #pragma once
 
 #include <string_view>
@@ -12,27 +12,27 @@
 
 namespace gaugevalve::agent {
 
-// Takes requests from the HTTP/3 server, and what steers them from the rest of the agent. All calls
-// come from the data task's thread.
+// Receives requests from the HTTP/3 server, and views, settings and peer messages from the rest of
+// the agent. All calls come from the data task's thread.
 class RequestBackend : public quic::RequestHandlerFactory {
  public:
-  // Takes a newer view of the agent's service, current at `confirmed_at`. The table isn't null.
+  // Applies a newer view of the agent's service, confirmed at `confirmed_at`. The table isn't null.
   virtual void SetView(const control::ServiceView& service, base::TimePoint confirmed_at) = 0;
 
-  // Takes the effective settings of the agent's endpoint.
+  // Applies the effective settings of the agent's endpoint.
   virtual void SetEndpoint(const settings::EndpointSettings& endpoint) = 0;
 
-  // Takes a message of the same backend at another agent of the service; malformed ones are counted
-  // and dropped.
+  // Handles a message of the same backend at another agent of the service. Malformed messages are
+  // counted and dropped.
   virtual void HandlePeerMessage(base::NodeId sender, std::string_view payload) = 0;
 
-  // Takes no new request; what was taken is finished.
+  // Stops accepting new requests. Accepted requests are finished.
   virtual void StartDraining() = 0;
 
-  // Fills in slots, queue and latency.
+  // Fills in the slots, queue length, latency and endpoint failures.
   virtual void FillReport(routing::AgentReport& report) = 0;
 
-  // Carries the counts over to the metrics.
+  // Adds the counts since the last call to the metrics.
   virtual void PublishCounters() = 0;
 };
 
--- a/daemons/agent/src/request_service.cpp
+++ b/daemons/agent/src/request_service.cpp
@@ -15,22 +15,22 @@
 namespace gaugevalve::agent {
 namespace {
 
-// How late a refusal or a repeated message may be.
+// Period of the timer, and so the maximum delay of a refusal or a repeated message.
 constexpr base::Duration kTimerPeriod = std::chrono::milliseconds(20);
 constexpr base::Duration kDefaultTimeout = std::chrono::seconds(10);
 
-// After a connection that couldn't be made, requests go to others for this long; the next one then
-// tries the endpoint again.
+// After a failed connection to the endpoint, requests are handed over for this time. The next
+// request then tries the endpoint again.
 constexpr base::Duration kEndpointDownTime = std::chrono::seconds(1);
 
-// How often answers are looked at for progress.
+// How often the progress of answers is checked.
 constexpr base::Duration kProgressPeriod = std::chrono::seconds(1);
 
-// Where an answer that has begun waits, for the metric.
+// Which party a stalled answer waits for. Values index kAnswerStallNames.
 enum class AnswerStall : std::uint8_t { kEndpoint, kPeer, kCaller };
 constexpr std::string_view kAnswerStallNames[] = {"endpoint", "peer", "caller"};
 
-// How a request ended, for the metric.
+// How a request ended. Values index the metric's labels.
 enum class EndCount : std::uint8_t {
   kAnswered,
   kNotRun,
@@ -167,7 +167,7 @@
   Perform(pipeline_.AddRequest(arrived, now));
 }
 
-// Lets another agent's endpoint run the request, when there is need and a peer that will.
+// Hands the request over to another agent if there is a need and a suitable peer.
 bool RequestService::HandOver(AdmittedRequest& request, base::TimePoint deadline,
                               base::TimePoint now) {
   requests::LocalSituation situation;
@@ -184,8 +184,8 @@
   return true;
 }
 
-// No byte left this agent: any peer may run it. A keyed request stays, since its grant is for this
-// agent; its end is told here.
+// Hands over a request of which no byte was sent, so that any peer may run it. A keyed request is
+// not handed over, since its grant is for this agent; this agent reports how it ended.
 bool RequestService::HandOverUnsent(requests::RequestId id, requests::EndpointResult end) {
   const auto found = known_.find(id);
   if (end != requests::EndpointResult::kNotSent || found == known_.end()) {
@@ -261,8 +261,8 @@
   UpdateDraining();
 }
 
-// Without hand-over, a draining endpoint goes on with the connections it has; with it, their
-// requests run elsewhere or are refused.
+// Without hand-over, a draining endpoint still serves the requests of its open connections. With
+// hand-over, these requests run at other endpoints or are refused.
 void RequestService::UpdateDraining() {
   pipeline_.SetDraining(is_draining_ || (is_endpoint_draining_ && is_hand_over_on_));
 }
--- a/daemons/agent/src/request_service.h
+++ b/daemons/agent/src/request_service.h
@@ -1,4 +1,5 @@
-// Admits callers' requests to the endpoint beside the agent, and keeps keyed ones to one execution.
+// Admits callers' requests to the endpoint beside the agent and runs each keyed request at most
+// once.
 #pragma once
 
 #include <event2/event.h>
@@ -24,12 +25,12 @@
 
 namespace gaugevalve::agent {
 
-// What a RequestService is made of.
+// Parameters of a RequestService.
 struct RequestServiceSettings {
   flow::AgentIdentity identity;
   base::SocketAddress endpoint;
   EndpointClientOptions client;
-  // Used until the settings tree's values come.
+  // Used until values from the settings tree arrive.
   requests::AdmissionLimits admission{.slots = 64,
                                       .queue_length = 64,
                                       .streams = 2000,
@@ -37,11 +38,11 @@
   requests::AtMostOnceLimits at_most_once;
 };
 
-// The shell around requests::RequestPipeline: HTTP/3 above, HTTP/1.1 to the endpoint below, other
-// agents beside it. Runs in the data task's thread.
+// Connects requests::RequestPipeline with the HTTP/3 server, the HTTP/1.1 client of the endpoint
+// and other agents. Runs in the data task's thread.
 class RequestService final : public RequestBackend, private HandOverOwner {
  public:
-  // `loop` must outlive this, and this every request.
+  // `loop` must outlive this object, and this object every request.
   RequestService(event_base* loop, const RequestServiceSettings& settings, PeerSender peer_sender,
                  prometheus::Registry& registry);
 
@@ -59,11 +60,11 @@
   void PublishCounters() override;
 
  private:
-  // A request that the pipeline knows, or that runs at another agent.
+  // A request that is in the pipeline or runs at another agent.
   struct Known {
     AdmittedRequest* request = nullptr;
     base::TimePoint deadline{};
-    bool is_away = false;  // handed over: the pipeline doesn't know it
+    bool is_away = false;  // handed over to another agent; not in the pipeline
   };
 
   // HandOverOwner
@@ -101,8 +102,8 @@
   requests::RequestPipeline pipeline_;
   absl::flat_hash_map<requests::RequestId, Known> known_;
   bool is_hand_over_on_ = true;
-  bool is_draining_ = false;           // this process
-  bool is_endpoint_draining_ = false;  // by the settings
+  bool is_draining_ = false;           // this process drains
+  bool is_endpoint_draining_ = false;  // the settings say that the endpoint drains
   base::TimePoint endpoint_down_until_{};
   std::uint64_t next_id_ = 1;
   std::uint32_t failures_since_report_ = 0;
--- a/daemons/agent/src/run_for_peer.cpp
+++ b/daemons/agent/src/run_for_peer.cpp
@@ -5,7 +5,7 @@
 namespace gaugevalve::agent {
 namespace {
 
-// Body bytes without room above which the other agent is asked to wait.
+// Unconsumed body bytes from which on the other agent is asked to pause the body.
 constexpr std::size_t kMaxUnconsumed = 64 * std::size_t{1024};
 
 std::string_view AsText(std::span<const std::uint8_t> bytes) {
--- a/daemons/agent/src/run_for_peer.h
+++ b/daemons/agent/src/run_for_peer.h
@@ -1,4 +1,4 @@
-// One request of another agent's caller, run at this agent's endpoint.
+// A request that another agent handed over, run at this agent's endpoint.
 #pragma once
 
 #include <cstddef>
@@ -10,14 +10,14 @@
 
 namespace gaugevalve::agent {
 
-// Stands in for the HTTP/3 connection: an AdmittedRequest above it runs like one of this agent's
-// own callers, through the same admission, and its answer goes back frame by frame.
+// Takes the place of the HTTP/3 connection. Its AdmittedRequest passes the same admission as
+// requests of this agent's own callers. The answer is sent to the other agent frame by frame.
 class RunForPeer final : private quic::ResponseWriter, private RefusalSink {
  public:
   RunForPeer(const requests::HandOverId& id, requests::RequestId request_id,
              const quic::RequestHead& head, HandOverService& service, RequestOwner& owner);
 
-  // Tells the owner, and the other agent that its body may come.
+  // Starts the request and tells the other agent that it may send the body.
   void Begin();
 
   void TakeBody(std::span<const std::uint8_t> bytes);
@@ -37,7 +37,7 @@
 
   requests::HandOverId id_;
   HandOverService& service_;
-  std::size_t unconsumed_ = 0;  // body bytes that the request has no room for
+  std::size_t unconsumed_ = 0;  // body bytes that the request has not consumed
   bool is_body_paused_ = false;
   bool is_over_ = false;
   AdmittedRequest request_;
--- a/daemons/agent/src/service_module.h
+++ b/daemons/agent/src/service_module.h
@@ -1,4 +1,4 @@
-// One kind of service in the agent's data task.
+// Interface of a service kind's module in the agent's data task.
 #pragma once
 
 #include <string_view>
@@ -14,46 +14,46 @@
 
 namespace gaugevalve::agent {
 
-// What the data task asks of the module that handles its service's datagrams. All calls come from
-// the data task's thread. A module sends through the AgentOutput it was made with; the task flushes
-// that after each batch, a module after what it sends of its own accord.
+// Handles the datagrams of the data task's service. All calls come from the data task's thread. A
+// module sends through the AgentOutput that it was created with. The task flushes the output after
+// each batch of input; the module flushes it after sending anything else.
 class ServiceModule {
  public:
   virtual ~ServiceModule() = default;
 
-  // Takes a newer view of the agent's service, current at `confirmed_at`. The table isn't null.
+  // Applies a newer view of the agent's service, confirmed at `confirmed_at`. The table isn't null.
   virtual void SetView(const control::ServiceView& service, base::TimePoint confirmed_at) = 0;
 
-  // Goes by these settings of the agent's endpoint from now on. A module that has no use for them
-  // leaves this out.
+  // Applies these settings of the agent's endpoint. Modules that don't use them need not override
+  // this.
   virtual void SetEndpoint(const settings::EndpointSettings& /*endpoint*/) {}
 
-  // Takes a message about requests from another agent of the service. A module that has no use for
-  // them leaves this out.
+  // Handles a message about requests from another agent of the service. Modules that don't use such
+  // messages need not override this.
   virtual void HandlePeerMessage(base::NodeId /*sender*/, std::string_view /*payload*/) {}
 
   // Handles a datagram that a balancer or another agent has sent. The header may be changed.
   virtual void HandleDatagram(const wire::ProxyDatagram& datagram, wire::ForwardingHeader& header,
                               base::TimePoint now) = 0;
 
-  // Does what is due with time, such as closing idle flows. Called a few times a second.
+  // Does periodic work such as closing idle flows. Called a few times per second.
   virtual void HandleTick(base::TimePoint now) = 0;
 
-  // Keeps what is open and takes nothing that another agent can take. Idempotent.
+  // Keeps open flows and stops accepting new ones that another agent can accept. Idempotent.
   virtual void StartDraining(base::TimePoint now) = 0;
 
-  // Uses this certificate for connections from now on; nothing to services that have none.
+  // Uses this certificate for new connections. Services without certificates ignore it.
   virtual void SetCredentials(const quic::CertificateCredentials& credentials) {
     static_cast<void>(credentials);
   }
 
-  // Fills in what the module knows for the planner, the agent's identity included.
+  // Fills in the module's part of the planner's report, including the agent's identity.
   virtual void FillReport(routing::AgentReport& report) const = 0;
 
-  // Tells whether the tables still name this agent: others may send it datagrams.
+  // Returns whether the tables still list this agent, so that others may send it datagrams.
   virtual bool IsNamed() const = 0;
 
-  // Carries the module's counts over to its metrics.
+  // Adds the module's counts since the last call to its metrics.
   virtual void PublishCounters() = 0;
 };
 
--- a/daemons/agent/tests/agent_worker_test.cpp
+++ b/daemons/agent/tests/agent_worker_test.cpp
@@ -12,13 +12,13 @@
 namespace gaugevalve::agent {
 namespace {
 
-constexpr int kPatienceMilliseconds = 10'000;  // a bound on a hang, not on speed
+constexpr int kPatienceMilliseconds = 10'000;  // ends a hanging test; not a bound on speed
 constexpr base::ServiceId kService(3);
 constexpr std::size_t kBuckets = 16;
 
 base::SocketAddress Loopback() { return base::SocketAddress::Ipv4(0x7f000001, 0); }
 
-// The next datagram at a socket, or a failed assertion.
+// Returns the next datagram at a socket; fails the test if none arrives.
 class Arrival {
  public:
   explicit Arrival(const tasks::UdpSocket& socket) {
@@ -92,7 +92,7 @@
   }
 
  private:
-  // Tells the worker that all buckets are `owner`'s.
+  // Sends the worker a table in which `owner` owns all buckets.
   void SendView(base::NodeId owner) {
     auto table = std::make_shared<routing::BucketTable>();
     table->service = kService;
@@ -122,7 +122,7 @@
     CPPUNIT_FAIL("the worker took no table");
   }
 
-  // Sends as a balancer does that knows no more than the agent's address.
+  // Sends a datagram like a balancer that knows only the agent's address.
   void SendDatagram(const std::string& text) {
     wire::ForwardingHeader header;
     header.service = kService;
--- a/daemons/agent/tests/endpoint_client_test.cpp
+++ b/daemons/agent/tests/endpoint_client_test.cpp
@@ -15,14 +15,14 @@
 using testing::RunUntil;
 using testing::ScriptedEndpoint;
 
-// So that no timer fires on a machine that is busy.
+// Long enough that no timer expires on a busy machine.
 constexpr std::chrono::minutes kLongTime{10};
 
 std::span<const std::uint8_t> BytesOf(std::string_view text) {
   return {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()};
 }
 
-// Records one exchange.
+// Records the events of one exchange.
 class Recorder final : public EndpointEvents {
  public:
   void OnAnswerHead(const quic::ResponseHead& answer_head) override { head = answer_head; }
@@ -186,7 +186,7 @@
     CPPUNIT_ASSERT(recorder.is_whole && recorder.body.empty());
   }
 
-  // Whatever byte of an answer the endpoint stops at, the answer is never passed off as whole.
+  // An answer that is truncated after any of its bytes must not be reported as complete.
   void EveryCutOfAnAnswerIsReported() {
     for (const std::string whole :
          {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
@@ -302,7 +302,7 @@
     CPPUNIT_ASSERT(endpoint_->Unsent(0) > kSize / 4);
     recorder.pauses_on_body = false;
     recorder.exchange->ResumeReading();
-    // The endpoint's end of the connection comes while the rest is still being read.
+    // The endpoint closes the connection while the rest is still being read.
     RunUntil(loop_.get(), [&] { return endpoint_->Unsent(0) == 0; });
     endpoint_->Close(0);
     WaitForAnswer(recorder);
@@ -349,10 +349,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, client_->ConnectionCount());
   }
 
-  // What callers saw: a board was refused as "outcome unknown" (request_outcome_unknown
-  // reason=endpoint-failed) by an agent whose endpoint ran on. An idle connection's time-out is
-  // told in the loop's next turn. A request that took the connection in between was cut by it,
-  // though it had been sent. Here both timers are due in one turn.
+  // Guards against requests that end as "outcome unknown" (request_outcome_unknown
+  // reason=endpoint-failed) although the endpoint is running. The loop delivers the time-out of an
+  // idle connection one iteration late. A request that took the connection in between was sent and
+  // then ended by the time-out. Here both timers are due in the same iteration.
   void ARequestThatMeetsTheIdleTimeoutIsAnswered() {
     EndpointClientOptions options;
     options.connect_timeout = kLongTime;
--- a/daemons/agent/tests/http3_service_test.cpp
+++ b/daemons/agent/tests/http3_service_test.cpp
@@ -1,4 +1,4 @@
-// Agents of an http3 service between a fabric and an endpoint, all on loopback.
+// Tests of Http3Service and RequestService: agents between a fabric and endpoints, all on loopback.
 #include "http3_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -56,7 +56,7 @@
   return text.data();
 }
 
-// Carries messages between the agents of a test. Thread-safe; a message to nobody is lost.
+// Delivers messages between the agents of a test. Messages to unknown agents are lost. Thread-safe.
 class PeerExchange {
  public:
   void Add(base::NodeId node, AgentWorker* worker) {
@@ -83,7 +83,7 @@
 // Returns the name of an agent's endpoint in the settings tree.
 std::string EndpointName(std::uint64_t node) { return "orders-" + std::to_string(node); }
 
-// A service that has just begun forgets nothing here, so that keyed requests run at once.
+// Limits that let an agent run keyed requests immediately after its start.
 requests::AtMostOnceLimits WithoutStartUpTime() {
   requests::AtMostOnceLimits limits;
   limits.freshness = base::Duration(1);
@@ -91,7 +91,7 @@
   return limits;
 }
 
-// One life of an agent, with its worker's thread.
+// One incarnation of an agent, with its worker's thread.
 class TestAgent {
  public:
   TestAgent(std::uint64_t node, std::uint64_t life, const base::SocketAddress& data_address,
@@ -120,7 +120,8 @@
 
   AgentWorker& Worker() { return worker_; }
 
-  // Tells whether the worker has taken its table and vouches for keys made from now on.
+  // Returns whether the worker has applied its table and knows that keys created from now on are
+  // new.
   bool RemembersNewKeys() const {
     for (const prometheus::MetricFamily& family : registry_.Collect()) {
       if (family.name == "gaugevalve_agent_remembers_new_keys") {
@@ -211,7 +212,7 @@
   tasks::LoopPointer loop_;
   base::SystemClock clock_;
   quic::CertificatePair pair_;
-  std::unique_ptr<ScriptedEndpoint> endpoint_;  // of the first agent, which has the caller
+  std::unique_ptr<ScriptedEndpoint> endpoint_;  // of the first agent, to which the caller connects
   std::unique_ptr<ScriptedEndpoint> other_endpoint_;
   std::unique_ptr<TestFabric> fabric_;
   PeerExchange peers_;
@@ -226,7 +227,7 @@
                                        endpoint.Address(), pair_, peers_);
   }
 
-  // Settings in which the first agent's endpoint drains.
+  // Returns settings in which the first agent's endpoint drains.
   static std::shared_ptr<const settings::ServiceSettings> DrainFirst(
       settings::HandOverSwitch hand_over) {
     auto service = std::make_shared<settings::ServiceSettings>();
@@ -243,8 +244,8 @@
     return service;
   }
 
-  // Tells all agents and the balancer that every bucket is the first agent's. Without settings the
-  // agents go by their defaults.
+  // Sends all agents and the balancer a view in which the first agent owns every bucket. Without
+  // settings the agents use their defaults.
   void PublishView(std::shared_ptr<const settings::ServiceSettings> service_settings = nullptr) {
     auto table = std::make_shared<routing::BucketTable>();
     table->service = kService;
@@ -286,7 +287,8 @@
     return answer;
   }
 
-  // Waits until the endpoint has had `count` connections and the last ends with `end`.
+  // Waits until the endpoint has accepted `count` connections and the input on the last ends with
+  // `end`.
   void WaitForRequest(std::size_t count, const std::string& end = "\r\n\r\n") {
     RunUntil(loop_.get(), [&] {
       return endpoint_->Count() == count && endpoint_->Received(count - 1).ends_with(end);
@@ -297,9 +299,9 @@
     RunUntil(loop_.get(), [&] { return answer.IsOver(); });
   }
 
-  // Returns a key for which all agents vouch: made in a later millisecond than that in which the
-  // last of their threads took the table. One made before may have run in a former life, for all
-  // they know.
+  // Returns a key that all agents know to be new: created at least one millisecond after the last
+  // of them applied the table. An agent can't rule out that an older key ran in an earlier
+  // incarnation.
   std::string KeyThatAgentsVouchFor() const {
     const auto remembers = [](const auto& agent) { return agent->RemembersNewKeys(); };
     while (!std::all_of(agents_.begin(), agents_.end(), remembers)) {
@@ -317,8 +319,9 @@
     return std::string(quic::FindField(answer.head.fields, "gaugevalve-outcome"));
   }
 
-  // Asks until the first agent has heard that the other has room: before that it refuses, as not
-  // run. Returns when the other endpoint has `count` requests, the last of which ends with `end`.
+  // Repeats the request until the first agent knows that the other one has capacity; before, it
+  // refuses the request as not run. Returns when the other endpoint has `count` requests, the last
+  // of which ends with `end`.
   std::shared_ptr<Answer> AskElsewhere(const std::string& method, const std::string& body,
                                        const quic::HeaderFields& fields, std::size_t count,
                                        const std::string& end) {
@@ -381,7 +384,7 @@
     CPPUNIT_ASSERT(answer->body == std::string(kSize, 'd'));
   }
 
-  // A balancer with another table may send a connection's packets to any agent.
+  // A balancer with a different table may send a connection's packets to any agent.
   void PacketsOfAnotherAgentsConnectionReachIt() {
     fabric_->misroute_to = agents_[1]->Entry();
     const auto answer = Ask("GET");
@@ -465,7 +468,7 @@
     agents_[0].reset();
     agents_[0] = MakeAgent(1, 2, data_address);
     PublishView();
-    Ask("GET");  // any packet will do
+    Ask("GET");  // any packet triggers the reset
     WaitForAnswer(*events_answer);
     CPPUNIT_ASSERT(events_answer->failure->kind == quic::RequestFailure::Kind::kConnectionLost);
     CPPUNIT_ASSERT_MESSAGE(events_.end->reason,
@@ -475,7 +478,8 @@
   void ANewCertificateCutsNothing() {
     const quic::CertificatePair newer = MakePair();
     CPPUNIT_ASSERT(agents_[0]->Worker().Send(MakeCredentials(newer)));
-    // The data task takes the message when it gets to it; callers before that see the old one.
+    // The data task handles the message asynchronously; earlier callers still get the old
+    // certificate.
     Events events;
     std::unique_ptr<quic::UdpClient> later;
     while (!events.is_connected) {
@@ -504,7 +508,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("done"), repeat->body);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, other_endpoint_->Count());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, endpoint_->Count());
-    CPPUNIT_ASSERT(!events_.is_leaving && !events_.end);  // the connection stays
+    CPPUNIT_ASSERT(!events_.is_leaving && !events_.end);  // the connection stays open
   }
 
   void LargeBodiesPassBothWaysThroughAnotherAgent() {
@@ -513,7 +517,7 @@
     const std::string body = std::string(kSize / 2, 'u') + std::string(kSize / 2, 'v');
     const auto answer =
         AskElsewhere("POST", body, {{"content-length", std::to_string(kSize)}}, 1, "v");
-    // More than kSize bytes are there before the body is whole: the head counts as well.
+    // Received() includes the head, so it exceeds kSize bytes before the body is complete.
     const std::string end = "\r\n\r\n" + body;
     RunUntil(loop_.get(), [&] {
       const std::string& received = other_endpoint_->Received(0);
@@ -539,7 +543,7 @@
     agents_.pop_back();
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
     std::shared_ptr<Answer> answer = Ask("POST", "order");
-    while (OutcomeOf(*answer) != "not-run") {  // the settings come to the agent when it gets to it
+    while (OutcomeOf(*answer) != "not-run") {  // the agent applies the settings asynchronously
       RunUntil(loop_.get(), [&] { return answer->IsOver() || endpoint_->Count() > 0; });
       answer = answer->IsOver() ? answer : Ask("POST", "order");
     }
@@ -549,7 +553,7 @@
 
   void SwitchedOffNothingIsHandedOver() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOff));
-    // The first one may come before the settings; the others come after.
+    // The first request may arrive before the settings are applied; the others arrive after.
     for (int request = 0; request < 3; ++request) {
       const auto answer = Ask("GET");
       RunUntil(loop_.get(), [&] {
--- a/daemons/agent/tests/scripted_endpoint.cpp
+++ b/daemons/agent/tests/scripted_endpoint.cpp
@@ -35,7 +35,7 @@
       this, LEV_OPT_CLOSE_ON_FREE, -1, reinterpret_cast<sockaddr*>(&native),
       static_cast<int>(length)));
   if (listener_ == nullptr) {
-    throw std::runtime_error("no listener");
+    throw std::runtime_error("cannot create a listener");
   }
   socklen_t size = sizeof native;
   getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&native), &size);
--- a/daemons/agent/tests/scripted_endpoint.h
+++ b/daemons/agent/tests/scripted_endpoint.h
@@ -1,4 +1,4 @@
-// An endpoint whose bytes the test decides.
+// An endpoint that sends what the test specifies.
 #pragma once
 
 #include <event2/buffer.h>
@@ -15,8 +15,8 @@
 
 namespace gaugevalve::agent::testing {
 
-// Accepts connections on a loopback port the system chose; the test reads what came and writes what
-// it likes. On the test's loop.
+// Accepts connections on a loopback port chosen by the system. The test reads the received bytes
+// and writes arbitrary answers. Runs on the test's loop.
 class ScriptedEndpoint {
  public:
   explicit ScriptedEndpoint(event_base* loop);
@@ -28,16 +28,16 @@
 
   // Connections accepted so far.
   std::size_t Count() const { return connections_.size(); }
-  // All that has come on a connection.
+  // All bytes received on a connection.
   const std::string& Received(std::size_t index) const { return connections_.at(index)->received; }
   bool IsClosed(std::size_t index) const { return connections_.at(index)->is_closed; }
   void Send(std::size_t index, std::string_view text);
-  // Bytes that wait for the client to read them.
+  // Bytes not yet written to the socket.
   std::size_t Unsent(std::size_t index) const;
   void Close(std::size_t index);
-  // Stops reading, so that the client's writes back up.
+  // Stops reading, so that the client's writes block.
   void StopReading(std::size_t index);
-  // Takes no more connections.
+  // Closes the listener: further connections are refused.
   void Refuse() { listener_.reset(); }
 
  private:
@@ -55,7 +55,8 @@
   std::vector<std::unique_ptr<Connection>> connections_;
 };
 
-// Runs the loop until `is_done` holds. A test that would hang is ended by the limit on test runs.
+// Runs the loop until `is_done` returns true. There is no time-out here; the time limit of the test
+// run ends a hanging test.
 void RunUntil(event_base* loop, const std::function<bool()>& is_done);
 
 }  // namespace gaugevalve::agent::testing
--- a/daemons/agent/tests/test_fabric.h
+++ b/daemons/agent/tests/test_fabric.h
@@ -1,4 +1,4 @@
-// A fabric with one balancer in it, for agents under test.
+// A simulated fabric with one balancer, for tests of agents.
 #pragma once
 
 #include <functional>
@@ -15,9 +15,9 @@
 
 namespace gaugevalve::agent::testing {
 
-// Callers send to CallerAddress(), which is also the service's virtual address; the balancer's core
-// chooses the agent, and what agents send to EgressAddress() goes back to the callers. On the
-// test's loop.
+// Callers send to CallerAddress(), which is also the service's virtual address. The balancer's core
+// chooses the agent. Datagrams that agents send to EgressAddress() are returned to the callers.
+// Runs on the test's loop.
 class TestFabric {
  public:
   TestFabric(event_base* loop, std::shared_ptr<const connection_id::Codec> codec);
@@ -27,7 +27,8 @@
 
   void SetView(std::shared_ptr<const control::NodeView> view) { core_.SetView(std::move(view)); }
 
-  // Sends packets that are not the first of a connection to this agent instead, whoever it is.
+  // If set, packets that are not the first of a connection go to this agent instead of the chosen
+  // one.
   std::optional<routing::AgentEntry> misroute_to;
 
  private:
