--- a/daemons/agent/fuzzers/http1_response_fuzzer.cpp
+++ b/daemons/agent/fuzzers/http1_response_fuzzer.cpp
@@ -22,7 +22,7 @@
 
 struct Result {
   State state;
-  std::size_t taken;
+  std::size_t consumed;
   int heads;
   std::size_t body;
   friend bool operator==(const Result&, const Result&) = default;
@@ -31,11 +31,11 @@
 Result Run(std::span<const std::uint8_t> input, std::size_t piece) {
   CountingSink sink;
   agent::Http1ResponseParser parser(sink, false);
-  std::size_t taken = 0;
-  while (taken < input.size() && parser.GetState() == State::kReading) {
-    taken += parser.Parse(input.subspan(taken, std::min(piece, input.size() - taken)));
+  std::size_t consumed = 0;
+  while (consumed < input.size() && parser.GetState() == State::kReading) {
+    consumed += parser.Parse(input.subspan(consumed, std::min(piece, input.size() - consumed)));
   }
-  return {parser.GetState(), taken, sink.heads, sink.body};
+  return {parser.GetState(), consumed, sink.heads, sink.body};
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
   if (at_once.body > size || at_once.heads > 1 || at_once.state != in_bytes.state) {
     std::abort();
   }
-  if (at_once.state == State::kWhole && at_once != in_bytes) {
+  if (at_once.state == State::kComplete && at_once != in_bytes) {
     std::abort();
   }
   return 0;
--- a/daemons/agent/src/admitted_request.cpp
+++ b/daemons/agent/src/admitted_request.cpp
@@ -72,8 +72,8 @@
 
 // A keyed request can be decided on once its body is complete or the part that the fingerprint
 // covers has arrived.
-void AdmittedRequest::ArriveIfReady() {
-  const bool is_ready = is_body_whole_ || early_body_.size() >= kMaxEarlyBodyBytes;
+void AdmittedRequest::NotifyArrivalIfReady() {
+  const bool is_ready = is_body_complete_ || early_body_.size() >= kMaxEarlyBodyBytes;
   if (is_keyed_ && is_ready && !has_arrived_) {
     has_arrived_ = true;
     owner_.OnArrived(*this);
@@ -92,7 +92,7 @@
   if (!early_body_.empty() && exchange_->WriteBody(AsBytes(early_body_))) {
     writer_.ConsumeBody(std::exchange(unconsumed_, 0));
   }
-  if (is_body_whole_) {
+  if (is_body_complete_) {
     exchange_->FinishBody();
   }
   return true;
@@ -109,9 +109,9 @@
   if (const std::int64_t seconds = requests::RetryAfterSeconds(refusal); seconds > 0) {
     fields.push_back({"retry-after", std::to_string(seconds)});
   }
-  const std::string words = std::string(requests::ReasonName(refusal.reason)) + "\n";
+  const std::string message = std::string(requests::ReasonName(refusal.reason)) + "\n";
   fields.push_back({"content-type", "text/plain"});
-  SendAnswer(writer_, requests::HttpStatusOf(refusal), std::move(fields), words);
+  SendAnswer(writer_, requests::HttpStatusOf(refusal), std::move(fields), message);
 }
 
 void AdmittedRequest::Repeat(const requests::StoredAnswer& answer) {
@@ -123,16 +123,16 @@
   SendAnswer(writer_, answer.status, std::move(fields), answer.body);
 }
 
-void AdmittedRequest::RefuseMalformed(const std::string& words) {
+void AdmittedRequest::RefuseMalformed(const std::string& message) {
   is_decided_ = true;
   SendAnswer(writer_, kBadRequest,
              {{std::string(requests::kOutcomeHeader), "not-run"}, {"content-type", "text/plain"}},
-             words + "\n");
+             message + "\n");
 }
 
 void AdmittedRequest::OnBody(std::span<const std::uint8_t> bytes) {
   if (exchange_ != nullptr) {
-    has_streamed_body_ = true;
+    has_sent_body_parts_ = true;
     if (exchange_->WriteBody(bytes)) {
       writer_.ConsumeBody(bytes.size());
     } else {
@@ -151,15 +151,15 @@
   } else {
     unconsumed_ += bytes.size();
   }
-  ArriveIfReady();
+  NotifyArrivalIfReady();
 }
 
 void AdmittedRequest::OnBodyEnd() {
-  is_body_whole_ = true;
+  is_body_complete_ = true;
   if (exchange_ != nullptr) {
     exchange_->FinishBody();
   }
-  ArriveIfReady();
+  NotifyArrivalIfReady();
 }
 
 void AdmittedRequest::OnWritable() {
@@ -194,7 +194,7 @@
 
 void AdmittedRequest::OnAnswerBody(std::span<const std::uint8_t> bytes) {
   if (is_keyed_) {
-    KeepForRepeats(bytes);
+    StoreForRepeats(bytes);
   }
   answer_bytes_ += bytes.size();
   if (!writer_.WriteBody(bytes)) {
@@ -203,7 +203,7 @@
   }
 }
 
-void AdmittedRequest::KeepForRepeats(std::span<const std::uint8_t> bytes) {
+void AdmittedRequest::StoreForRepeats(std::span<const std::uint8_t> bytes) {
   std::string& body = stored_answer_.body;
   is_answer_too_long_ =
       is_answer_too_long_ || body.size() + bytes.size() > requests::kMaxStoredBodyBytes;
@@ -237,8 +237,8 @@
   }
   requests::EndpointResult end = requests::EndpointResult::kFailed;
   if (failure.kind == ExchangeFailure::Kind::kNotSent) {
-    end = has_streamed_body_ ? requests::EndpointResult::kBodyNotReplayable
-                             : requests::EndpointResult::kNotSent;
+    end = has_sent_body_parts_ ? requests::EndpointResult::kBodyNotReplayable
+                               : requests::EndpointResult::kNotSent;
   }
   owner_.OnEnded(id_, end, {});
 }
--- a/daemons/agent/src/admitted_request.h
+++ b/daemons/agent/src/admitted_request.h
@@ -79,7 +79,7 @@
   bool Start(const ExchangeStarter& starter, std::optional<base::Duration> time_left);
   void Refuse(const requests::Refusal& refusal);
   void Repeat(const requests::StoredAnswer& answer);
-  void RefuseMalformed(const std::string& words);
+  void RefuseMalformed(const std::string& message);
   void Abandon() { exchange_.reset(); }
 
   requests::RequestId Id() const { return id_; }
@@ -107,8 +107,8 @@
   void OnExchangeFailed(const ExchangeFailure& failure) override;
   void OnRequestWritable() override;
 
-  void ArriveIfReady();
-  void KeepForRepeats(std::span<const std::uint8_t> bytes);
+  void NotifyArrivalIfReady();
+  void StoreForRepeats(std::span<const std::uint8_t> bytes);
 
   requests::RequestId id_;
   quic::RequestHead head_;
@@ -119,8 +119,8 @@
   bool is_stream_ = false;
   bool has_arrived_ = false;  // the owner was notified
   bool is_decided_ = false;  // refused, repeated, cancelled or ended: the owner no longer tracks it
-  bool is_body_whole_ = false;
-  bool has_streamed_body_ = false;  // body parts were sent to the endpoint and not stored
+  bool is_body_complete_ = false;
+  bool has_sent_body_parts_ = false;  // body parts were sent to the endpoint and not stored
   bool has_answer_head_ = false;
   bool is_refused_by_endpoint_ = false;  // the answer says that the request was not run
   bool is_answer_too_long_ = false;      // to be stored for repeated requests
--- a/daemons/agent/src/agent_output.cpp
+++ b/daemons/agent/src/agent_output.cpp
@@ -41,16 +41,16 @@
 void AgentOutput::Append(const base::SocketAddress& destination, std::size_t header_size,
                          std::span<const std::uint8_t> payload) {
   batch_.Append(destination, header_size, payload);
-  ++gathered_;
+  ++queued_count_;
   if (batch_.IsFull()) {
     Flush();
   }
 }
 
 void AgentOutput::Flush() {
-  if (gathered_ > 0) {
-    unsent_.Add(gathered_ - batch_.Flush(descriptor_));
-    gathered_ = 0;
+  if (queued_count_ > 0) {
+    unsent_.Add(queued_count_ - batch_.Flush(descriptor_));
+    queued_count_ = 0;
   }
 }
 
--- a/daemons/agent/src/agent_output.h
+++ b/daemons/agent/src/agent_output.h
@@ -44,7 +44,7 @@
   int descriptor_;
   base::SocketAddress egress_address_;
   tasks::UdpSendBatch batch_;
-  std::uint64_t gathered_ = 0;
+  std::uint64_t queued_count_ = 0;
   daemon::PublishedCounter answers_;
   daemon::PublishedCounter passed_on_;
   daemon::PublishedCounter unsent_;
--- a/daemons/agent/src/agent_worker.cpp
+++ b/daemons/agent/src/agent_worker.cpp
@@ -59,10 +59,10 @@
     module_->HandlePeerMessage(peer->sender, peer->payload);
     return;
   }
-  TakeView(*std::get<ViewPointer>(message));
+  ApplyView(*std::get<ViewPointer>(message));
 }
 
-void AgentWorker::TakeView(const control::NodeView& view) {
+void AgentWorker::ApplyView(const control::NodeView& view) {
   for (const control::ServiceView& service : view.services) {
     if (service.id == settings_.service && service.table != nullptr) {
       module_->SetView(service, view.confirmed_at);
--- a/daemons/agent/src/agent_worker.h
+++ b/daemons/agent/src/agent_worker.h
@@ -82,7 +82,7 @@
 
  private:
   void OnMessage(const AgentMessage& message);
-  void TakeView(const control::NodeView& view);
+  void ApplyView(const control::NodeView& view);
   void OnReadable();
   void OnTick();
   void HandleDatagram(std::size_t index, base::TimePoint now);
--- a/daemons/agent/src/endpoint_connection.cpp
+++ b/daemons/agent/src/endpoint_connection.cpp
@@ -56,7 +56,7 @@
   events_ = &events;
   parser_.emplace(*this, head.method == "HEAD");
   framing_.reset();
-  is_request_whole_ = false;
+  is_request_complete_ = false;
   is_write_blocked_ = false;
   has_head_ = false;
   if (is_connected_) {
@@ -77,7 +77,7 @@
 }
 
 bool EndpointConnection::WriteBody(std::span<const std::uint8_t> bytes) {
-  if (state_ != State::kBusy || is_request_whole_ || bytes.empty()) {
+  if (state_ != State::kBusy || is_request_complete_ || bytes.empty()) {
     return true;
   }
   if (!framing_) {
@@ -97,10 +97,10 @@
 }
 
 void EndpointConnection::FinishBody() {
-  if (state_ != State::kBusy || is_request_whole_) {
+  if (state_ != State::kBusy || is_request_complete_) {
     return;
   }
-  is_request_whole_ = true;
+  is_request_complete_ = true;
   if (!framing_) {
     SendHead(true);
   } else if (*framing_ == BodyFraming::kChunked) {
@@ -172,16 +172,16 @@
     evbuffer_iovec piece{};
     evbuffer_peek(input, -1, nullptr, &piece, 1);
     const std::span bytes(static_cast<const std::uint8_t*>(piece.iov_base), piece.iov_len);
-    const std::size_t taken = parser_->Parse(bytes);
-    evbuffer_drain(input, taken);
+    const std::size_t consumed = parser_->Parse(bytes);
+    evbuffer_drain(input, consumed);
   }
   if (state_ != State::kBusy) {
     return;  // the exchange was destroyed by its events
   }
-  if (parser_->GetState() == Http1ResponseParser::State::kWhole) {
+  if (parser_->GetState() == Http1ResponseParser::State::kComplete) {
     FinishAnswer();
   } else if (parser_->GetState() == Http1ResponseParser::State::kMalformed) {
-    Fail(ExchangeFailure::Kind::kMalformedAnswer, parser_->Fault());
+    Fail(ExchangeFailure::Kind::kMalformedAnswer, parser_->ErrorDetail());
   } else if (is_peer_closed_ && InputLength() == 0) {
     OnPeerClosed("the endpoint closed the connection");
   }
@@ -203,7 +203,7 @@
 // Keeps the connection only if no more data of this exchange can be sent or received on it.
 void EndpointConnection::FinishAnswer() {
   const bool is_sent =
-      is_request_whole_ && evbuffer_get_length(bufferevent_get_output(buffered_.get())) == 0;
+      is_request_complete_ && evbuffer_get_length(bufferevent_get_output(buffered_.get())) == 0;
   const bool is_clean = InputLength() == 0 && !is_peer_closed_;
   EndpointEvents* events = std::exchange(events_, nullptr);
   std::exchange(exchange_, nullptr)->Detach();
--- a/daemons/agent/src/endpoint_connection.h
+++ b/daemons/agent/src/endpoint_connection.h
@@ -78,7 +78,7 @@
   quic::RequestHead head_;
   std::optional<Http1ResponseParser> parser_;
   std::optional<BodyFraming> framing_;  // set once the request's head is written
-  bool is_request_whole_ = false;
+  bool is_request_complete_ = false;
   bool is_write_blocked_ = false;
   bool has_head_ = false;        // the answer's head has arrived
   bool is_peer_closed_ = false;  // the endpoint closed the connection; input remains to be parsed
--- a/daemons/agent/src/hand_over_service.cpp
+++ b/daemons/agent/src/hand_over_service.cpp
@@ -16,7 +16,7 @@
 using requests::proto::HandOverRequestHead;
 
 // How a request handed over to another agent ended. Values index the metric's labels.
-enum class AwayEnd : std::uint8_t { kAnswered, kNotRun, kOutcomeUnknown, kCut, kCancelled };
+enum class HandOverEnd : std::uint8_t { kAnswered, kNotRun, kOutcomeUnknown, kCut, kCancelled };
 
 std::string_view AsText(std::span<const std::uint8_t> bytes) {
   return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
@@ -66,9 +66,9 @@
   return head;
 }
 
-AwayEnd AwayEndOf(const requests::Refusal& refusal) {
-  return refusal.outcome == requests::RequestOutcome::kNotRun ? AwayEnd::kNotRun
-                                                              : AwayEnd::kOutcomeUnknown;
+HandOverEnd HandOverEndOf(const requests::Refusal& refusal) {
+  return refusal.outcome == requests::RequestOutcome::kNotRun ? HandOverEnd::kNotRun
+                                                              : HandOverEnd::kOutcomeUnknown;
 }
 
 prometheus::Gauge* MakeGauge(prometheus::Registry& registry, const std::string& side) {
@@ -90,13 +90,13 @@
       ended_(registry, "gaugevalve_agent_hand_overs_ended_total",
              "Requests handed over to other agents, by how they ended.",
              {"answered", "not-run", "unknown", "cut", "cancelled"}),
-      taken_(prometheus::BuildCounter()
-                 .Name("gaugevalve_agent_hand_overs_taken_total")
-                 .Help("Requests offered by other agents and given to admission here.")
-                 .Register(registry)
-                 .Add({})),
-      away_(MakeGauge(registry, "away")),
-      here_(MakeGauge(registry, "here")),
+      accepted_(prometheus::BuildCounter()
+                    .Name("gaugevalve_agent_hand_overs_taken_total")
+                    .Help("Requests offered by other agents and given to admission here.")
+                    .Register(registry)
+                    .Add({})),
+      away_gauge_(MakeGauge(registry, "away")),
+      here_gauge_(MakeGauge(registry, "here")),
       deferred_(loop, [this] {
         HandleEvents();
         SweepRuns();
@@ -119,16 +119,16 @@
     if (!core_.Origin().Offer(offered, need, now, actions)) {
       return nullptr;
     }
-    left_[request.Id()] = &events;
+    away_exchanges_[request.Id()] = &events;
     Perform(actions);
     return std::make_unique<HandedOverExchange>(request.Id(), *this);
   };
-  const bool has_left = request.Start(starter, deadline - now);
-  if (has_left) {
+  const bool is_handed_over = request.Start(starter, deadline - now);
+  if (is_handed_over) {
     telemetry::Event(telemetry::Level::kDebug, "request_handed_over")
         .Field("request", request.Id());
   }
-  return has_left;
+  return is_handed_over;
 }
 
 void HandOverService::SetTable(const std::shared_ptr<const routing::BucketTable>& table) {
@@ -146,9 +146,9 @@
 
 void HandOverService::PublishCounters() {
   ended_.Publish();
-  taken_.Publish();
-  away_->Set(static_cast<double>(core_.Origin().Size()));
-  here_->Set(static_cast<double>(core_.Executor().Size()));
+  accepted_.Publish();
+  away_gauge_->Set(static_cast<double>(core_.Origin().Size()));
+  here_gauge_->Set(static_cast<double>(core_.Executor().Size()));
 }
 
 bool HandOverService::WriteBody(requests::RequestId id, std::span<const std::uint8_t> bytes) {
@@ -171,10 +171,10 @@
 }
 
 void HandOverService::Cancel(requests::RequestId id) {
-  if (left_.erase(id) == 0) {
+  if (away_exchanges_.erase(id) == 0) {
     return;  // the request has already ended
   }
-  ended_.Add(AwayEnd::kCancelled);
+  ended_.Add(HandOverEnd::kCancelled);
   requests::HandOverActions actions;
   core_.Origin().Cancel(id, actions);
   Perform(actions);
@@ -210,8 +210,8 @@
 }
 
 void HandOverService::Handle(const requests::OriginEvent& event) {
-  const auto found = left_.find(event.request);
-  if (found == left_.end()) {
+  const auto found = away_exchanges_.find(event.request);
+  if (found == away_exchanges_.end()) {
     return;  // cancelled in the meantime
   }
   EndpointEvents& events = *found->second;
@@ -222,16 +222,16 @@
   } else if (const auto* const bytes = std::get_if<requests::AnswerBytesReceived>(&event.what)) {
     events.OnAnswerBody(AsBytes(bytes->bytes));
   } else if (const auto* const refused = std::get_if<requests::HandOverRefused>(&event.what)) {
-    left_.erase(found);
-    ended_.Add(AwayEndOf(refused->refusal));
+    away_exchanges_.erase(found);
+    ended_.Add(HandOverEndOf(refused->refusal));
     owner_.OnRefusedElsewhere(event.request, refused->refusal);
   } else if (std::holds_alternative<requests::AnswerEnded>(event.what)) {
-    left_.erase(found);
-    ended_.Add(AwayEnd::kAnswered);
+    away_exchanges_.erase(found);
+    ended_.Add(HandOverEnd::kAnswered);
     events.OnAnswerEnd();
   } else {
-    left_.erase(found);
-    ended_.Add(AwayEnd::kCut);
+    away_exchanges_.erase(found);
+    ended_.Add(HandOverEnd::kCut);
     events.OnExchangeFailed({ExchangeFailure::Kind::kCutAnswer,
                              "the executing agent is gone or its answer was truncated"});
   }
@@ -248,18 +248,18 @@
   }
   RunForPeer& run = *found->second;
   if (const auto* const bytes = std::get_if<requests::BodyBytesReceived>(&event.what)) {
-    run.TakeBody(AsBytes(bytes->bytes));
+    run.HandleBody(AsBytes(bytes->bytes));
   } else if (std::holds_alternative<requests::BodyEnded>(event.what)) {
-    run.TakeBodyEnd();
+    run.HandleBodyEnd();
   } else if (std::holds_alternative<requests::AnswerWritable>(event.what)) {
-    run.TakeRoom();
+    run.HandleWritable();
   } else {
-    run.TakeCancel();
+    run.HandleCancel();
   }
 }
 
 void HandOverService::BeginRun(const requests::HandOverId& id, const requests::RunOffered& offer) {
-  taken_.Add();
+  accepted_.Add();
   auto run =
       std::make_unique<RunForPeer>(id, owner_.NextRequestId(), DecodeHead(offer), *this, owner_);
   RunForPeer& begun = *run;
@@ -267,13 +267,13 @@
   begun.Begin();
 }
 
-void HandOverService::OnRunOver(const requests::HandOverId& run) {
-  over_.push_back(run);
+void HandOverService::OnRunFinished(const requests::HandOverId& run) {
+  finished_runs_.push_back(run);
   deferred_.StartOnce(base::Duration{0});
 }
 
 void HandOverService::SweepRuns() {
-  for (const requests::HandOverId& id : std::exchange(over_, {})) {
+  for (const requests::HandOverId& id : std::exchange(finished_runs_, {})) {
     runs_.erase(id);
   }
 }
--- a/daemons/agent/src/hand_over_service.h
+++ b/daemons/agent/src/hand_over_service.h
@@ -76,7 +76,7 @@
   requests::HandOverExecutor& Executor() { return core_.Executor(); }
   base::TimePoint Now() const { return clock_.Now(); }
   void Perform(const requests::HandOverActions& actions);
-  void OnRunOver(const requests::HandOverId& run);
+  void OnRunFinished(const requests::HandOverId& run);
 
  private:
   using Event = std::variant<requests::OriginEvent, requests::ExecutorEvent>;
@@ -93,15 +93,15 @@
   HandOverOwner& owner_;
   PeerSender peer_sender_;
   requests::HandOver core_;
-  absl::flat_hash_map<requests::RequestId, EndpointEvents*> left_;
+  absl::flat_hash_map<requests::RequestId, EndpointEvents*> away_exchanges_;
   absl::flat_hash_map<requests::HandOverId, std::unique_ptr<RunForPeer>> runs_;
-  std::vector<requests::HandOverId> over_;
+  std::vector<requests::HandOverId> finished_runs_;
   std::deque<Event> events_;
   bool is_handling_ = false;
   daemon::ReasonCounters ended_;
-  daemon::PublishedCounter taken_;
-  prometheus::Gauge* away_;
-  prometheus::Gauge* here_;
+  daemon::PublishedCounter accepted_;
+  prometheus::Gauge* away_gauge_;
+  prometheus::Gauge* here_gauge_;
   tasks::Timer deferred_;
 };
 
--- a/daemons/agent/src/http1_response_parser.cpp
+++ b/daemons/agent/src/http1_response_parser.cpp
@@ -68,13 +68,13 @@
   if (state_ != State::kReading || bytes.empty()) {
     return 0;
   }
-  const std::size_t taken = http_parser_execute(
+  const std::size_t consumed = http_parser_execute(
       &parser_, &settings, reinterpret_cast<const char*>(bytes.data()), bytes.size());
   const http_errno error = HTTP_PARSER_ERRNO(&parser_);
   if (error != HPE_OK && error != HPE_PAUSED && state_ == State::kReading) {
     Fail(http_errno_description(error));
   }
-  return taken;
+  return consumed;
 }
 
 void Http1ResponseParser::Pause() {
@@ -143,14 +143,14 @@
     return 0;  // the final answer follows
   }
   keeps_connection_ = http_should_keep_alive(&parser_) != 0;
-  state_ = State::kWhole;
+  state_ = State::kComplete;
   http_parser_pause(&parser_, 1);  // bytes that follow must not be parsed as a second answer
   return 0;
 }
 
 int Http1ResponseParser::Fail(std::string fault) {
   state_ = State::kMalformed;
-  fault_ = std::move(fault);
+  error_detail_ = std::move(fault);
   return -1;
 }
 
--- a/daemons/agent/src/http1_response_parser.h
+++ b/daemons/agent/src/http1_response_parser.h
@@ -34,8 +34,8 @@
   enum class State : std::uint8_t {
     kReading,    // more bytes are needed
     kPaused,     // Pause() was called: pass the rest again later
-    kWhole,      // the answer is complete; unconsumed bytes belong to no answer
-    kMalformed,  // see Fault()
+    kComplete,   // the answer is complete; unconsumed bytes belong to no answer
+    kMalformed,  // see ErrorDetail()
   };
 
   // `sink` must outlive the parser. `is_head_request` says that the answer has no body whatever its
@@ -61,7 +61,7 @@
   bool KeepsConnection() const { return keeps_connection_; }
 
   // Why the answer is malformed, for logs.
-  const std::string& Fault() const { return fault_; }
+  const std::string& ErrorDetail() const { return error_detail_; }
 
  private:
   struct Callbacks;
@@ -83,7 +83,7 @@
   bool last_was_value_ = false;
   quic::HeaderField field_;
   quic::HeaderFields fields_;
-  std::string fault_;
+  std::string error_detail_;
 };
 
 }  // namespace gaugevalve::agent
--- a/daemons/agent/src/http3_service.cpp
+++ b/daemons/agent/src/http3_service.cpp
@@ -31,7 +31,7 @@
       base::HashPair(identity.node.value(), identity.incarnation.value()));
 }
 
-bool MayOpen(const connection_id::InvariantHeader& packet) {
+bool MayOpenConnection(const connection_id::InvariantHeader& packet) {
   const bool is_other_version =
       packet.is_long && packet.version != connection_id::kQuicVersion1 && packet.version != 0;
   return packet.is_initial || is_other_version;  // other versions lead to version negotiation
@@ -65,12 +65,12 @@
       expiry_timer_(loop,
                     [this] {
                       server_.HandleExpiry(clock_.Now());
-                      FinishOwnActivity();
+                      FlushAndUpdateTimer();
                     }),
       flush_timer_(loop,
                    [this] {
                      server_.Flush(clock_.Now());
-                     FinishOwnActivity();
+                     FlushAndUpdateTimer();
                    }),
       backend_(std::move(backend)),
       server_(
@@ -127,13 +127,13 @@
   const auto origin = codec_->Decode(id);
   const routing::AgentEntry* issuer = origin ? table_->FindAgent(origin->node) : nullptr;
   if (origin && origin->node == ownership_.Identity().node) {
-    HandleOfOwnIssue(*packet, datagram, now);
+    HandleOwnConnectionId(*packet, datagram, now);
   } else if (issuer != nullptr) {
     PassToIssuer(*issuer, datagram, header);
-  } else if (MayOpen(*packet)) {
-    HandleFirst(datagram, header, now);
+  } else if (MayOpenConnection(*packet)) {
+    HandleFirstPacket(datagram, header, now);
   } else {
-    HandleOrphan(*packet, origin, datagram, now);
+    HandleUnknownConnection(*packet, origin, datagram, now);
   }
 }
 
@@ -161,8 +161,8 @@
 
 // Handles an ID that this or an earlier incarnation of this agent issued, without an open
 // connection. No other agent can have the connection.
-void Http3Service::HandleOfOwnIssue(const connection_id::InvariantHeader& packet,
-                                    const wire::ProxyDatagram& datagram, base::TimePoint now) {
+void Http3Service::HandleOwnConnectionId(const connection_id::InvariantHeader& packet,
+                                         const wire::ProxyDatagram& datagram, base::TimePoint now) {
   if (packet.is_initial) {
     Serve(datagram, now);  // the caller's response to a Retry packet
   } else if (!packet.is_long) {
@@ -185,8 +185,8 @@
   output_->PassOn(issuer.data_address, datagram, header);
 }
 
-void Http3Service::HandleFirst(const wire::ProxyDatagram& datagram, wire::ForwardingHeader& header,
-                               base::TimePoint now) {
+void Http3Service::HandleFirstPacket(const wire::ProxyDatagram& datagram,
+                                     wire::ForwardingHeader& header, base::TimePoint now) {
   const flow::OwnershipDecision decision = ownership_.Decide(header, std::nullopt, now);
   switch (decision.verdict) {
     case flow::Verdict::kOpen:
@@ -202,9 +202,10 @@
   }
 }
 
-void Http3Service::HandleOrphan(const connection_id::InvariantHeader& packet,
-                                const std::optional<connection_id::Origin>& origin,
-                                const wire::ProxyDatagram& datagram, base::TimePoint now) {
+void Http3Service::HandleUnknownConnection(const connection_id::InvariantHeader& packet,
+                                           const std::optional<connection_id::Origin>& origin,
+                                           const wire::ProxyDatagram& datagram,
+                                           base::TimePoint now) {
   const bool is_gone = origin && departed_.HasLeft(origin->node, kDepartureGrace, now);
   if (is_gone && !packet.is_long) {
     Reset(datagram, now);
@@ -225,7 +226,7 @@
   ownership_.StartDraining(now);
   server_.Drain(now);
   backend_->StartDraining();
-  FinishOwnActivity();
+  FlushAndUpdateTimer();
 }
 
 // Only first packets are routed by bucket, so only connections in handshake are counted per bucket.
@@ -301,7 +302,7 @@
   output_->SendAnswer(path.local, path.remote, std::span(slot).first(payload.size()));
 }
 
-void Http3Service::FinishOwnActivity() {
+void Http3Service::FlushAndUpdateTimer() {
   output_->Flush();
   used_answers_ = 0;
   UpdateTimer();
--- a/daemons/agent/src/http3_service.h
+++ b/daemons/agent/src/http3_service.h
@@ -77,18 +77,18 @@
   void RequestFlush() override { flush_timer_.StartOnce(base::Duration{0}); }
 
   void Serve(const wire::ProxyDatagram& datagram, base::TimePoint now);
-  void HandleOfOwnIssue(const connection_id::InvariantHeader& packet,
-                        const wire::ProxyDatagram& datagram, base::TimePoint now);
+  void HandleOwnConnectionId(const connection_id::InvariantHeader& packet,
+                             const wire::ProxyDatagram& datagram, base::TimePoint now);
   void PassToIssuer(const routing::AgentEntry& issuer, const wire::ProxyDatagram& datagram,
                     wire::ForwardingHeader& header);
-  void HandleFirst(const wire::ProxyDatagram& datagram, wire::ForwardingHeader& header,
-                   base::TimePoint now);
-  void HandleOrphan(const connection_id::InvariantHeader& packet,
-                    const std::optional<connection_id::Origin>& origin,
-                    const wire::ProxyDatagram& datagram, base::TimePoint now);
+  void HandleFirstPacket(const wire::ProxyDatagram& datagram, wire::ForwardingHeader& header,
+                         base::TimePoint now);
+  void HandleUnknownConnection(const connection_id::InvariantHeader& packet,
+                               const std::optional<connection_id::Origin>& origin,
+                               const wire::ProxyDatagram& datagram, base::TimePoint now);
   void Reset(const wire::ProxyDatagram& datagram, base::TimePoint now);
   void LogUnacknowledged(base::TimePoint now);
-  void FinishOwnActivity();
+  void FlushAndUpdateTimer();
   void UpdateTimer();
 
   static constexpr std::size_t kAnswerSlots = 64;
--- a/daemons/agent/src/main.cpp
+++ b/daemons/agent/src/main.cpp
@@ -63,7 +63,7 @@
         identity_{node_.Id(), daemon::MakeIncarnation(), base::MakeServiceId(node_.agent->service)},
         registry_(std::make_shared<prometheus::Registry>()),
         statuses_(loop_.get(), kStatusInboxCapacity,
-                  [this](AgentStatus status) { TakeStatus(std::move(status)); }),
+                  [this](AgentStatus status) { UpdateStatus(std::move(status)); }),
         peer_outbox_(loop_.get(), kPeerOutboxCapacity,
                      [this](const OutgoingPeerMessage& message) { SendToPeer(message); }),
         worker_(
@@ -167,7 +167,7 @@
     }
   }
 
-  void TakeStatus(AgentStatus status) {
+  void UpdateStatus(AgentStatus status) {
     status_ = std::move(status);
     if (control_ != nullptr) {
       control_->UpdateReport(status_.report);
@@ -197,7 +197,7 @@
     const bool is_released = !status_.is_named || node_.static_settings.has_value();
     if (is_draining && status_.report.open_flows == 0 && is_released) {
       drain_timer_.Cancel();
-      SayFarewell();
+      LeaveAndEnd();
     } else if (clock_.Now() - drain_started_ >= command_line_.drain_timeout) {
       telemetry::Event(telemetry::Level::kWarning, "drain_timed_out")
           .Field("open_flows", status_.report.open_flows);
@@ -205,7 +205,7 @@
     }
   }
 
-  void SayFarewell() {
+  void LeaveAndEnd() {
     if (control_ == nullptr) {
       End(daemon::kSuccess);
     } else {
--- a/daemons/agent/src/progress_monitor.h
+++ b/daemons/agent/src/progress_monitor.h
@@ -30,18 +30,18 @@
   // Items missing from `items` are no longer tracked.
   std::vector<Key> TakeStalled(const std::vector<Item>& items, base::TimePoint now) {
     std::vector<Key> stalled;
-    std::map<Key, Progress> present;
+    std::map<Key, Progress> current;
     for (const Item& item : items) {
-      const auto former = progress_.find(item.key);
-      const bool is_same = former != progress_.end() && former->second.count == item.count;
-      Progress progress = is_same ? former->second : Progress{item.count, now, false};
-      if (!progress.is_told && now - progress.since >= kStallTime) {
-        progress.is_told = true;
+      const auto previous = progress_.find(item.key);
+      const bool is_same = previous != progress_.end() && previous->second.count == item.count;
+      Progress progress = is_same ? previous->second : Progress{item.count, now, false};
+      if (!progress.is_reported && now - progress.since >= kStallTime) {
+        progress.is_reported = true;
         stalled.push_back(item.key);
       }
-      present[item.key] = progress;
+      current[item.key] = progress;
     }
-    progress_ = std::move(present);
+    progress_ = std::move(current);
     return stalled;
   }
 
@@ -49,7 +49,7 @@
   struct Progress {
     std::uint64_t count = 0;
     base::TimePoint since{};
-    bool is_told = false;
+    bool is_reported = false;
   };
 
   std::map<Key, Progress> progress_;  // as of the last call
--- a/daemons/agent/src/request_service.cpp
+++ b/daemons/agent/src/request_service.cpp
@@ -31,7 +31,7 @@
 constexpr std::string_view kAnswerStallNames[] = {"endpoint", "peer", "caller"};
 
 // How a request ended. Values index the metric's labels.
-enum class EndCount : std::uint8_t {
+enum class RequestEnd : std::uint8_t {
   kAnswered,
   kNotRun,
   kOutcomeUnknown,
@@ -55,18 +55,18 @@
   return pipeline;
 }
 
-EndCount EndCountOf(requests::RequestOutcome outcome) {
+RequestEnd RequestEndOf(requests::RequestOutcome outcome) {
   switch (outcome) {
     case requests::RequestOutcome::kAnswered:
-      return EndCount::kAnswered;
+      return RequestEnd::kAnswered;
     case requests::RequestOutcome::kNotRun:
-      return EndCount::kNotRun;
+      return RequestEnd::kNotRun;
     case requests::RequestOutcome::kCancelled:
-      return EndCount::kCancelled;
+      return RequestEnd::kCancelled;
     case requests::RequestOutcome::kOutcomeUnknown:
       break;
   }
-  return EndCount::kOutcomeUnknown;
+  return RequestEnd::kOutcomeUnknown;
 }
 
 std::vector<std::string_view> RefusalReasonNames() {
@@ -163,7 +163,7 @@
   if (HandOver(request, deadline, now)) {
     return;
   }
-  known_[request.Id()] = {&request, deadline};
+  tracked_[request.Id()] = {&request, deadline};
   Perform(pipeline_.AddRequest(arrived, now));
 }
 
@@ -180,19 +180,20 @@
   if (!need || !hand_over_.Offer(request, *need, deadline)) {
     return false;
   }
-  known_[request.Id()] = {&request, deadline, true};
+  tracked_[request.Id()] = {&request, deadline, true};
   return true;
 }
 
 // Hands over a request of which no byte was sent, so that any peer may run it. A keyed request is
 // not handed over, since its grant is for this agent; this agent reports how it ended.
 bool RequestService::HandOverUnsent(requests::RequestId id, requests::EndpointResult end) {
-  const auto found = known_.find(id);
-  if (end != requests::EndpointResult::kNotSent || found == known_.end()) {
+  const auto found = tracked_.find(id);
+  if (end != requests::EndpointResult::kNotSent || found == tracked_.end()) {
     return false;
   }
-  const Known known = found->second;
-  if (known.request->IsKeyed() || !HandOver(*known.request, known.deadline, clock_.Now())) {
+  const TrackedRequest tracked_request = found->second;
+  if (tracked_request.request->IsKeyed() ||
+      !HandOver(*tracked_request.request, tracked_request.deadline, clock_.Now())) {
     return false;
   }
   Perform(pipeline_.Cancel(id, clock_.Now()));
@@ -200,13 +201,13 @@
 }
 
 void RequestService::OnRefusedElsewhere(requests::RequestId id, const requests::Refusal& refusal) {
-  if (const auto found = known_.find(id); found != known_.end()) {
+  if (const auto found = tracked_.find(id); found != tracked_.end()) {
     found->second.request->Abandon();
     Refuse({id, refusal});
   }
 }
 
-void RequestService::NoteEndpoint(requests::EndpointResult end, base::TimePoint now) {
+void RequestService::UpdateEndpointState(requests::EndpointResult end, base::TimePoint now) {
   const bool is_unreached = end == requests::EndpointResult::kNotSent ||
                             end == requests::EndpointResult::kBodyNotReplayable;
   endpoint_down_until_ = is_unreached ? now + kEndpointDownTime : now;
@@ -227,30 +228,30 @@
   const base::TimePoint now = clock_.Now();
   Perform(pipeline_.OnTimer(now));
   hand_over_.OnTimer(Load(now));
-  if (now - answers_checked_at_ >= kProgressPeriod) {
-    answers_checked_at_ = now;
+  if (now - answer_progress_checked_at_ >= kProgressPeriod) {
+    answer_progress_checked_at_ = now;
     LogStalledAnswers(now);
   }
 }
 
 void RequestService::LogStalledAnswers(base::TimePoint now) {
-  std::vector<decltype(answers_)::Item> items;
-  for (const auto& [id, known] : known_) {
-    const AnswerProgress progress = known.request->Progress();
-    if (progress.has_begun && !known.request->IsStream()) {
+  std::vector<decltype(answer_progress_)::Item> items;
+  for (const auto& [id, tracked_request] : tracked_) {
+    const AnswerProgress progress = tracked_request.request->Progress();
+    if (progress.has_begun && !tracked_request.request->IsStream()) {
       items.push_back({id, progress.bytes});
     }
   }
-  for (const requests::RequestId id : answers_.TakeStalled(items, now)) {
-    const Known& known = known_.at(id);
-    const AnswerProgress progress = known.request->Progress();
+  for (const requests::RequestId id : answer_progress_.TakeStalled(items, now)) {
+    const TrackedRequest& tracked_request = tracked_.at(id);
+    const AnswerProgress progress = tracked_request.request->Progress();
     const AnswerStall stall = progress.waits_for_caller ? AnswerStall::kCaller
-                              : known.is_away           ? AnswerStall::kPeer
+                              : tracked_request.is_away ? AnswerStall::kPeer
                                                         : AnswerStall::kEndpoint;
     stalled_.Add(stall);
     telemetry::Event(telemetry::Level::kWarning, "answer_stalled")
         .Field("request", id)
-        .Field("path", known.request->Head().path)
+        .Field("path", tracked_request.request->Head().path)
         .Field("at", kAnswerStallNames[static_cast<std::size_t>(stall)])
         .Field("bytes", progress.bytes);
   }
@@ -269,43 +270,43 @@
 
 void RequestService::OnEnded(requests::RequestId id, requests::EndpointResult end,
                              const requests::StoredAnswer& answer) {
-  const auto found = known_.find(id);
-  const bool is_away = found != known_.end() && found->second.is_away;
+  const auto found = tracked_.find(id);
+  const bool is_away = found != tracked_.end() && found->second.is_away;
   if (!is_away) {
-    NoteEndpoint(end, clock_.Now());
+    UpdateEndpointState(end, clock_.Now());
     if (HandOverUnsent(id, end)) {
       ++failures_since_report_;
       return;
     }
   }
-  const bool is_whole =
+  const bool is_complete =
       end == requests::EndpointResult::kAnswered || end == requests::EndpointResult::kRefused;
-  if (is_whole) {
-    ended_.Add(end == requests::EndpointResult::kAnswered ? EndCount::kAnswered
-                                                          : EndCount::kNotRun);
+  if (is_complete) {
+    ended_.Add(end == requests::EndpointResult::kAnswered ? RequestEnd::kAnswered
+                                                          : RequestEnd::kNotRun);
   } else if (!is_away) {
     ++failures_since_report_;
   }
   Perform(pipeline_.FinishAtEndpoint(id, end, answer, clock_.Now()));
-  const bool was_cut = !pipeline_.Contains(id) && Forget(id) != nullptr && !is_whole;
+  const bool was_cut = !pipeline_.Contains(id) && StopTracking(id) != nullptr && !is_complete;
   if (was_cut) {
-    ended_.Add(EndCount::kCut);
+    ended_.Add(RequestEnd::kCut);
   }
 }
 
 void RequestService::OnCancelled(requests::RequestId id) {
-  Forget(id);
-  ended_.Add(EndCount::kCancelled);
+  StopTracking(id);
+  ended_.Add(RequestEnd::kCancelled);
   Perform(pipeline_.Cancel(id, clock_.Now()));
 }
 
-AdmittedRequest* RequestService::Forget(requests::RequestId id) {
-  const auto found = known_.find(id);
-  if (found == known_.end()) {
+AdmittedRequest* RequestService::StopTracking(requests::RequestId id) {
+  const auto found = tracked_.find(id);
+  if (found == tracked_.end()) {
     return nullptr;
   }
   AdmittedRequest* const request = found->second.request;
-  known_.erase(found);
+  tracked_.erase(found);
   return request;
 }
 
@@ -314,7 +315,7 @@
     peer_sender_(outgoing.destination, outgoing.message.SerializeAsString());
   }
   for (const requests::RequestId id : actions.abandon) {
-    if (const auto found = known_.find(id); found != known_.end()) {
+    if (const auto found = tracked_.find(id); found != tracked_.end()) {
       found->second.request->Abandon();
     }
   }
@@ -322,8 +323,8 @@
     Refuse(refused);
   }
   for (const requests::RepeatedRequest& repeated : actions.repeated) {
-    ended_.Add(EndCount::kRepeated);
-    if (AdmittedRequest* const request = Forget(repeated.id)) {
+    ended_.Add(RequestEnd::kRepeated);
+    if (AdmittedRequest* const request = StopTracking(repeated.id)) {
       request->Repeat(repeated.answer);
     }
   }
@@ -333,8 +334,8 @@
 }
 
 void RequestService::Start(requests::RequestId id) {
-  const auto found = known_.find(id);
-  if (found == known_.end()) {
+  const auto found = tracked_.find(id);
+  if (found == tracked_.end()) {
     Perform(pipeline_.Cancel(id, clock_.Now()));
     return;
   }
@@ -354,13 +355,13 @@
 void RequestService::Refuse(const requests::RefusedRequest& refused) {
   const requests::Refusal& refusal = refused.refusal;
   refused_.Add(refusal.reason);
-  ended_.Add(EndCountOf(refusal.outcome));
+  ended_.Add(RequestEndOf(refusal.outcome));
   if (refusal.outcome == requests::RequestOutcome::kOutcomeUnknown) {
     telemetry::Event(telemetry::Level::kInfo, "request_outcome_unknown")
         .Field("request", refused.id)
         .Field("reason", refusal.reason);
   }
-  if (AdmittedRequest* const request = Forget(refused.id)) {
+  if (AdmittedRequest* const request = StopTracking(refused.id)) {
     request->Refuse(refusal);
   }
 }
--- a/daemons/agent/src/request_service.h
+++ b/daemons/agent/src/request_service.h
@@ -61,7 +61,7 @@
 
  private:
   // A request that is in the pipeline or runs at another agent.
-  struct Known {
+  struct TrackedRequest {
     AdmittedRequest* request = nullptr;
     base::TimePoint deadline{};
     bool is_away = false;  // handed over to another agent; not in the pipeline
@@ -83,14 +83,14 @@
   bool HandOverUnsent(requests::RequestId id, requests::EndpointResult end);
   bool IsDraining() const { return is_draining_ || is_endpoint_draining_; }
   requests::LocalLoad Load(base::TimePoint now) const;
-  void NoteEndpoint(requests::EndpointResult end, base::TimePoint now);
+  void UpdateEndpointState(requests::EndpointResult end, base::TimePoint now);
   void UpdateDraining();
   void OnTimer();
   void LogStalledAnswers(base::TimePoint now);
   void Perform(const requests::PipelineActions& actions);
   void Start(requests::RequestId id);
   void Refuse(const requests::RefusedRequest& refused);
-  AdmittedRequest* Forget(requests::RequestId id);
+  AdmittedRequest* StopTracking(requests::RequestId id);
 
   base::SystemClock clock_;
   flow::AgentIdentity identity_;
@@ -100,7 +100,7 @@
   base::RandomSource random_;
   EndpointClient client_;
   requests::RequestPipeline pipeline_;
-  absl::flat_hash_map<requests::RequestId, Known> known_;
+  absl::flat_hash_map<requests::RequestId, TrackedRequest> tracked_;
   bool is_hand_over_on_ = true;
   bool is_draining_ = false;           // this process drains
   bool is_endpoint_draining_ = false;  // the settings say that the endpoint drains
@@ -114,8 +114,8 @@
   prometheus::Gauge* waiting_;
   prometheus::Gauge* streams_;
   prometheus::Gauge* remembers_keys_;
-  ProgressMonitor<requests::RequestId> answers_;
-  base::TimePoint answers_checked_at_{};
+  ProgressMonitor<requests::RequestId> answer_progress_;
+  base::TimePoint answer_progress_checked_at_{};
   daemon::ReasonCounters stalled_;
   HandOverService hand_over_;
   tasks::Timer timer_;
--- a/daemons/agent/src/run_for_peer.cpp
+++ b/daemons/agent/src/run_for_peer.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Unconsumed body bytes from which on the other agent is asked to pause the body.
-constexpr std::size_t kMaxUnconsumed = 64 * std::size_t{1024};
+constexpr std::size_t kMaxUnconsumedBytes = 64 * std::size_t{1024};
 
 std::string_view AsText(std::span<const std::uint8_t> bytes) {
   return {reinterpret_cast<const char*>(bytes.data()), bytes.size()};
@@ -25,10 +25,10 @@
   service_.Perform(actions);
 }
 
-void RunForPeer::TakeBody(std::span<const std::uint8_t> bytes) {
+void RunForPeer::HandleBody(std::span<const std::uint8_t> bytes) {
   unconsumed_ += bytes.size();
   request_.OnBody(bytes);
-  if (unconsumed_ >= kMaxUnconsumed && !is_body_paused_ && !is_over_) {
+  if (unconsumed_ >= kMaxUnconsumedBytes && !is_body_paused_ && !is_finished_) {
     is_body_paused_ = true;
     requests::HandOverActions actions;
     service_.Executor().SetBodyPaused(id_, true, actions);
@@ -36,11 +36,11 @@
   }
 }
 
-void RunForPeer::TakeCancel() {
-  if (!is_over_) {
-    is_over_ = true;
+void RunForPeer::HandleCancel() {
+  if (!is_finished_) {
+    is_finished_ = true;
     request_.OnCancelled(quic::Http3Error::kRequestCancelled);
-    service_.OnRunOver(id_);
+    service_.OnRunFinished(id_);
   }
 }
 
@@ -66,24 +66,24 @@
 }
 
 void RunForPeer::Finish() {
-  is_over_ = true;
+  is_finished_ = true;
   requests::HandOverActions actions;
   service_.Executor().EndAnswer(id_, service_.Now(), actions);
   service_.Perform(actions);
-  service_.OnRunOver(id_);
+  service_.OnRunFinished(id_);
 }
 
 void RunForPeer::Reset(quic::Http3Error /*error*/) {
-  is_over_ = true;
+  is_finished_ = true;
   requests::HandOverActions actions;
   service_.Executor().AbortAnswer(id_, service_.Now(), actions);
   service_.Perform(actions);
-  service_.OnRunOver(id_);
+  service_.OnRunFinished(id_);
 }
 
 void RunForPeer::ConsumeBody(std::size_t bytes) {
   unconsumed_ -= bytes;
-  if (is_body_paused_ && unconsumed_ < kMaxUnconsumed && !is_over_) {
+  if (is_body_paused_ && unconsumed_ < kMaxUnconsumedBytes && !is_finished_) {
     is_body_paused_ = false;
     requests::HandOverActions actions;
     service_.Executor().SetBodyPaused(id_, false, actions);
@@ -92,11 +92,11 @@
 }
 
 void RunForPeer::Refuse(const requests::Refusal& refusal) {
-  is_over_ = true;
+  is_finished_ = true;
   requests::HandOverActions actions;
   service_.Executor().Refuse(id_, refusal, service_.Now(), actions);
   service_.Perform(actions);
-  service_.OnRunOver(id_);
+  service_.OnRunFinished(id_);
 }
 
 }  // namespace gaugevalve::agent
--- a/daemons/agent/src/run_for_peer.h
+++ b/daemons/agent/src/run_for_peer.h
@@ -20,10 +20,10 @@
   // Starts the request and tells the other agent that it may send the body.
   void Begin();
 
-  void TakeBody(std::span<const std::uint8_t> bytes);
-  void TakeBodyEnd() { request_.OnBodyEnd(); }
-  void TakeRoom() { request_.OnWritable(); }
-  void TakeCancel();
+  void HandleBody(std::span<const std::uint8_t> bytes);
+  void HandleBodyEnd() { request_.OnBodyEnd(); }
+  void HandleWritable() { request_.OnWritable(); }
+  void HandleCancel();
 
  private:
   // quic::ResponseWriter
@@ -39,7 +39,7 @@
   HandOverService& service_;
   std::size_t unconsumed_ = 0;  // body bytes that the request has not consumed
   bool is_body_paused_ = false;
-  bool is_over_ = false;
+  bool is_finished_ = false;
   AdmittedRequest request_;
 };
 
--- a/daemons/agent/tests/agent_worker_test.cpp
+++ b/daemons/agent/tests/agent_worker_test.cpp
@@ -12,7 +12,7 @@
 namespace gaugevalve::agent {
 namespace {
 
-constexpr int kPatienceMilliseconds = 10'000;  // ends a hanging test; not a bound on speed
+constexpr int kReceiveTimeoutMilliseconds = 10'000;  // ends a hanging test; not a bound on speed
 constexpr base::ServiceId kService(3);
 constexpr std::size_t kBuckets = 16;
 
@@ -23,7 +23,7 @@
  public:
   explicit Arrival(const tasks::UdpSocket& socket) {
     pollfd waiting{socket.Descriptor(), POLLIN, 0};
-    CPPUNIT_ASSERT_EQUAL(1, poll(&waiting, 1, kPatienceMilliseconds));
+    CPPUNIT_ASSERT_EQUAL(1, poll(&waiting, 1, kReceiveTimeoutMilliseconds));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, batch_.Receive(socket.Descriptor()));
   }
 
@@ -111,7 +111,7 @@
   // Waits until the worker reports that it has this table.
   void WaitForTable(const routing::TableVersion& version) {
     pollfd waiting{statuses_.Wake().Descriptor(), POLLIN, 0};
-    while (poll(&waiting, 1, kPatienceMilliseconds) == 1) {
+    while (poll(&waiting, 1, kReceiveTimeoutMilliseconds) == 1) {
       statuses_.Wake().Acknowledge();
       while (const auto status = statuses_.TryReceive()) {
         if (status->report.table_version == version) {
--- a/daemons/agent/tests/endpoint_client_test.cpp
+++ b/daemons/agent/tests/endpoint_client_test.cpp
@@ -16,7 +16,7 @@
 using testing::ScriptedEndpoint;
 
 // Long enough that no timer expires on a busy machine.
-constexpr std::chrono::minutes kLongTime{10};
+constexpr std::chrono::minutes kLongTimeout{10};
 
 std::span<const std::uint8_t> BytesOf(std::string_view text) {
   return {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()};
@@ -35,16 +35,16 @@
       exchange.reset();
     }
   }
-  void OnAnswerEnd() override { is_whole = true; }
+  void OnAnswerEnd() override { is_complete = true; }
   void OnExchangeFailed(const ExchangeFailure& reported) override { failure = reported; }
   void OnRequestWritable() override { ++writable; }
 
-  bool IsOver() const { return is_whole || failure.has_value(); }
+  bool IsOver() const { return is_complete || failure.has_value(); }
 
   std::unique_ptr<EndpointExchange> exchange;
   quic::ResponseHead head;
   std::string body;
-  bool is_whole = false;
+  bool is_complete = false;
   std::optional<ExchangeFailure> failure;
   int writable = 0;
   bool pauses_on_body = false;
@@ -53,22 +53,22 @@
 
 class EndpointClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EndpointClientTest);
-  CPPUNIT_TEST(AWholeAnswerLeavesTheConnectionForTheNextRequest);
+  CPPUNIT_TEST(ACompleteAnswerKeepsTheConnectionForTheNextRequest);
   CPPUNIT_TEST(BodiesAreFramedByLengthOrInChunks);
   CPPUNIT_TEST(ConnectionFieldsStayOnTheirConnection);
-  CPPUNIT_TEST(EventsPassAsTheyCome);
+  CPPUNIT_TEST(EventsAreStreamedAsTheyArrive);
   CPPUNIT_TEST(AHeadAnswerHasNoBody);
-  CPPUNIT_TEST(EveryCutOfAnAnswerIsReported);
+  CPPUNIT_TEST(EveryTruncationOfAnAnswerIsReported);
   CPPUNIT_TEST(AnAnswerThatEndsWithItsConnectionIsMalformed);
   CPPUNIT_TEST(AClosedConnectionBeforeTheAnswerIsBroken);
   CPPUNIT_TEST(NoConnectionMeansNotSent);
   CPPUNIT_TEST(ACancelledExchangeClosesItsConnection);
   CPPUNIT_TEST(AnExchangeMayEndWithinItsEvents);
-  CPPUNIT_TEST(BytesAfterAnAnswerAreNeverAnotherOnes);
+  CPPUNIT_TEST(BytesAfterAnAnswerAreNotASecondAnswer);
   CPPUNIT_TEST(AnAnswerBeforeTheRequestsEndClosesTheConnection);
-  CPPUNIT_TEST(PausedReadingHoldsTheEndpointBack);
-  CPPUNIT_TEST(ASlowEndpointHoldsTheRequestBack);
-  CPPUNIT_TEST(MoreThanTheLimitIsNotSent);
+  CPPUNIT_TEST(PausedReadingBlocksTheEndpoint);
+  CPPUNIT_TEST(ASlowEndpointBlocksTheRequestBody);
+  CPPUNIT_TEST(RequestsAboveTheConnectionLimitAreNotSent);
   CPPUNIT_TEST(IdleConnectionsAreClosed);
   CPPUNIT_TEST(ARequestThatMeetsTheIdleTimeoutIsAnswered);
   CPPUNIT_TEST_SUITE_END();
@@ -105,8 +105,8 @@
     loop_ = tasks::MakeLoop();
     endpoint_ = std::make_unique<ScriptedEndpoint>(loop_.get());
     EndpointClientOptions options;
-    options.connect_timeout = kLongTime;
-    options.idle_timeout = kLongTime;
+    options.connect_timeout = kLongTimeout;
+    options.idle_timeout = kLongTimeout;
     StartClient(options);
   }
   void tearDown() override {  // NOLINT(readability-identifier-naming)
@@ -115,13 +115,13 @@
     loop_.reset();
   }
 
-  void AWholeAnswerLeavesTheConnectionForTheNextRequest() {
+  void ACompleteAnswerKeepsTheConnectionForTheNextRequest() {
     for (const std::string text : {"one", "two"}) {
       Recorder recorder;
       Ask(recorder, 0);
       endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Name: A b\r\n\r\n" + text);
       WaitForAnswer(recorder);
-      CPPUNIT_ASSERT(recorder.is_whole);
+      CPPUNIT_ASSERT(recorder.is_complete);
       CPPUNIT_ASSERT_EQUAL(text, recorder.body);
       CPPUNIT_ASSERT_EQUAL(200, recorder.head.status);
       CPPUNIT_ASSERT(recorder.head.fields.at(1) == (quic::HeaderField{"x-name", "A b"}));
@@ -159,11 +159,11 @@
                          endpoint_->Received(0));
     endpoint_->Send(0, "HTTP/1.1 204 No Content\r\nKeep-Alive: 5\r\nConnection: close\r\n\r\n");
     WaitForAnswer(recorder);
-    CPPUNIT_ASSERT(recorder.is_whole && recorder.head.fields.empty());
+    CPPUNIT_ASSERT(recorder.is_complete && recorder.head.fields.empty());
     RunUntil(loop_.get(), [&] { return client_->ConnectionCount() == 0; });
   }
 
-  void EventsPassAsTheyCome() {
+  void EventsAreStreamedAsTheyArrive() {
     Recorder recorder;
     Ask(recorder, 0);
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -175,7 +175,7 @@
     CPPUNIT_ASSERT(!recorder.IsOver());
     endpoint_->Send(0, "0\r\n\r\n");
     WaitForAnswer(recorder);
-    CPPUNIT_ASSERT(recorder.is_whole);
+    CPPUNIT_ASSERT(recorder.is_complete);
   }
 
   void AHeadAnswerHasNoBody() {
@@ -183,23 +183,23 @@
     Ask(recorder, 0, "HEAD");
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n");
     WaitForAnswer(recorder);
-    CPPUNIT_ASSERT(recorder.is_whole && recorder.body.empty());
+    CPPUNIT_ASSERT(recorder.is_complete && recorder.body.empty());
   }
 
   // An answer that is truncated after any of its bytes must not be reported as complete.
-  void EveryCutOfAnAnswerIsReported() {
-    for (const std::string whole :
+  void EveryTruncationOfAnAnswerIsReported() {
+    for (const std::string complete_answer :
          {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"}) {
-      for (std::size_t length = 1; length < whole.size(); ++length) {
+      for (std::size_t length = 1; length < complete_answer.size(); ++length) {
         Recorder recorder;
         const std::size_t index = endpoint_->Count();
         Ask(recorder, index);
-        endpoint_->Send(index, whole.substr(0, length));
+        endpoint_->Send(index, complete_answer.substr(0, length));
         RunUntil(loop_.get(), [&] { return endpoint_->Unsent(index) == 0; });
         endpoint_->Close(index);
         WaitForAnswer(recorder);
-        CPPUNIT_ASSERT_MESSAGE("cut at " + std::to_string(length), !recorder.is_whole);
+        CPPUNIT_ASSERT_MESSAGE("truncated at " + std::to_string(length), !recorder.is_complete);
         CPPUNIT_ASSERT(recorder.failure->kind == ExchangeFailure::Kind::kCutAnswer);
       }
     }
@@ -255,7 +255,7 @@
     CPPUNIT_ASSERT(!recorder.IsOver());
   }
 
-  void BytesAfterAnAnswerAreNeverAnotherOnes() {
+  void BytesAfterAnAnswerAreNotASecondAnswer() {
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n";
     Recorder at_once;
     Ask(at_once, 0);
@@ -282,12 +282,12 @@
     WaitForEnd(0, "part\r\n");
     endpoint_->Send(0, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n");
     WaitForAnswer(recorder);
-    CPPUNIT_ASSERT(recorder.is_whole);
+    CPPUNIT_ASSERT(recorder.is_complete);
     CPPUNIT_ASSERT(recorder.exchange->WriteBody(BytesOf("more")));  // ignored
     RunUntil(loop_.get(), [&] { return client_->ConnectionCount() == 0; });
   }
 
-  void PausedReadingHoldsTheEndpointBack() {
+  void PausedReadingBlocksTheEndpoint() {
     constexpr std::size_t kSize = 32'000'000;  // more than the system's socket buffers hold
     Recorder recorder;
     recorder.pauses_on_body = true;
@@ -306,11 +306,11 @@
     RunUntil(loop_.get(), [&] { return endpoint_->Unsent(0) == 0; });
     endpoint_->Close(0);
     WaitForAnswer(recorder);
-    CPPUNIT_ASSERT(recorder.is_whole);
+    CPPUNIT_ASSERT(recorder.is_complete);
     CPPUNIT_ASSERT_EQUAL(kSize, recorder.body.size());
   }
 
-  void ASlowEndpointHoldsTheRequestBack() {
+  void ASlowEndpointBlocksTheRequestBody() {
     Recorder recorder;
     recorder.exchange = client_->Start({"POST", "https", "h", "/", {}}, recorder);
     recorder.exchange->WriteBody(BytesOf("begin"));
@@ -326,7 +326,7 @@
     CPPUNIT_ASSERT_EQUAL(0, recorder.writable);
   }
 
-  void MoreThanTheLimitIsNotSent() {
+  void RequestsAboveTheConnectionLimitAreNotSent() {
     EndpointClientOptions options;
     options.max_connections = 1;
     StartClient(options);
@@ -355,7 +355,7 @@
   // then ended by the time-out. Here both timers are due in the same iteration.
   void ARequestThatMeetsTheIdleTimeoutIsAnswered() {
     EndpointClientOptions options;
-    options.connect_timeout = kLongTime;
+    options.connect_timeout = kLongTimeout;
     options.idle_timeout = std::chrono::milliseconds(20);
     StartClient(options);
     Recorder first;
@@ -379,7 +379,7 @@
     CPPUNIT_ASSERT(!second.failure.has_value());
     endpoint_->Send(endpoint_->Count() - 1, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
     WaitForAnswer(second);
-    CPPUNIT_ASSERT(second.is_whole);
+    CPPUNIT_ASSERT(second.is_complete);
     CPPUNIT_ASSERT_EQUAL(std::string("two"), second.body);
   }
 };
--- a/daemons/agent/tests/http1_request_test.cpp
+++ b/daemons/agent/tests/http1_request_test.cpp
@@ -7,14 +7,14 @@
 
 class Http1RequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(Http1RequestTest);
-  CPPUNIT_TEST(WhatCouldSmuggleALineIsNotWritable);
-  CPPUNIT_TEST(AnEmptyPostSaysSo);
+  CPPUNIT_TEST(RequestsThatCouldInjectALineAreNotWritable);
+  CPPUNIT_TEST(AnEmptyPostHasContentLengthZero);
   CPPUNIT_TEST_SUITE_END();
 
   static quic::RequestHead Head() { return {"GET", "https", "h", "/a?b=c", {{"x", "y z"}}}; }
 
  public:
-  void WhatCouldSmuggleALineIsNotWritable() {
+  void RequestsThatCouldInjectALineAreNotWritable() {
     CPPUNIT_ASSERT(IsWritable(Head()));
     const auto refuses = [](auto change) {
       quic::RequestHead head = Head();
@@ -31,7 +31,7 @@
     CPPUNIT_ASSERT(refuses([](auto& head) { head.fields[0].name = "x:"; }));
   }
 
-  void AnEmptyPostSaysSo() {
+  void AnEmptyPostHasContentLengthZero() {
     quic::RequestHead head = Head();
     head.method = "POST";
     head.fields.clear();
--- a/daemons/agent/tests/http3_service_test.cpp
+++ b/daemons/agent/tests/http3_service_test.cpp
@@ -94,11 +94,12 @@
 // One incarnation of an agent, with its worker's thread.
 class TestAgent {
  public:
-  TestAgent(std::uint64_t node, std::uint64_t life, const base::SocketAddress& data_address,
-            const base::SocketAddress& egress, const base::SocketAddress& endpoint,
-            const quic::CertificatePair& pair, PeerExchange& peers)
+  TestAgent(std::uint64_t node, std::uint64_t incarnation_number,
+            const base::SocketAddress& data_address, const base::SocketAddress& egress,
+            const base::SocketAddress& endpoint, const quic::CertificatePair& pair,
+            PeerExchange& peers)
       : peers_(peers),
-        identity_{base::NodeId(node), base::Incarnation(life * 1'000'000), kService},
+        identity_{base::NodeId(node), base::Incarnation(incarnation_number * 1'000'000), kService},
         worker_(
             {data_address, egress, kService, EndpointName(node)},
             [&](event_base* loop, AgentOutput& output) {
@@ -160,9 +161,9 @@
 struct Answer {
   quic::ResponseHead head;
   std::string body;
-  bool is_whole = false;
+  bool is_complete = false;
   std::optional<quic::RequestFailure> failure;
-  bool IsOver() const { return is_whole || failure.has_value(); }
+  bool IsOver() const { return is_complete || failure.has_value(); }
 };
 
 class AnswerRecorder final : public quic::ResponseHandler {
@@ -172,7 +173,7 @@
   void OnBody(std::span<const std::uint8_t> bytes) override {
     answer_->body.append(reinterpret_cast<const char*>(bytes.data()), bytes.size());
   }
-  void OnEnd() override { answer_->is_whole = true; }
+  void OnEnd() override { answer_->is_complete = true; }
   void OnFailed(const quic::RequestFailure& failure) override { answer_->failure = failure; }
 
  private:
@@ -193,18 +194,18 @@
   CPPUNIT_TEST_SUITE(Http3ServiceTest);
   CPPUNIT_TEST(ARequestReachesTheEndpointAndItsAnswerTheCaller);
   CPPUNIT_TEST(LargeBodiesPassBothWays);
-  CPPUNIT_TEST(PacketsOfAnotherAgentsConnectionReachIt);
-  CPPUNIT_TEST(ACutAnswerIsResetAndAnUnsentRequestRefused);
+  CPPUNIT_TEST(MisroutedPacketsReachTheAgentOfTheirConnection);
+  CPPUNIT_TEST(ATruncatedAnswerIsResetAndAnUnsentRequestRefused);
   CPPUNIT_TEST(AKeyedRequestRunsOnceAndARepeatGetsItsAnswer);
-  CPPUNIT_TEST(AMalformedDeadlineIsRefusedWithWords);
+  CPPUNIT_TEST(AMalformedDeadlineIsRefusedWithAMessage);
   CPPUNIT_TEST(AnEventStreamSurvivesADrainAndAChangeOfAddress);
-  CPPUNIT_TEST(ARestartedAgentTellsItsCallers);
-  CPPUNIT_TEST(ANewCertificateCutsNothing);
+  CPPUNIT_TEST(ARestartedAgentResetsFormerConnections);
+  CPPUNIT_TEST(ANewCertificateKeepsConnectionsOpen);
   CPPUNIT_TEST(ADrainedEndpointsRequestRunsOnceAtAnother);
   CPPUNIT_TEST(LargeBodiesPassBothWaysThroughAnotherAgent);
   CPPUNIT_TEST(ARequestThatCouldNotBeSentRunsAtAnotherEndpoint);
   CPPUNIT_TEST(WithoutAPeerADrainedEndpointRefusesAtOnce);
-  CPPUNIT_TEST(SwitchedOffNothingIsHandedOver);
+  CPPUNIT_TEST(NothingIsHandedOverWhenSwitchedOff);
   CPPUNIT_TEST(ACancelledRequestEndsAtTheOtherEndpoint);
   CPPUNIT_TEST(ALostPeerLeavesTheOutcomeUnknown);
   CPPUNIT_TEST_SUITE_END();
@@ -220,11 +221,11 @@
   Events events_;
   std::unique_ptr<quic::UdpClient> caller_;
 
-  std::unique_ptr<TestAgent> MakeAgent(std::uint64_t node, std::uint64_t life,
+  std::unique_ptr<TestAgent> MakeAgent(std::uint64_t node, std::uint64_t incarnation_number,
                                        const base::SocketAddress& data_address) {
     const ScriptedEndpoint& endpoint = node == 1 ? *endpoint_ : *other_endpoint_;
-    return std::make_unique<TestAgent>(node, life, data_address, fabric_->EgressAddress(),
-                                       endpoint.Address(), pair_, peers_);
+    return std::make_unique<TestAgent>(node, incarnation_number, data_address,
+                                       fabric_->EgressAddress(), endpoint.Address(), pair_, peers_);
   }
 
   // Returns settings in which the first agent's endpoint drains.
@@ -302,7 +303,7 @@
   // Returns a key that all agents know to be new: created at least one millisecond after the last
   // of them applied the table. An agent can't rule out that an older key ran in an earlier
   // incarnation.
-  std::string KeyThatAgentsVouchFor() const {
+  std::string NewKeyKnownToAllAgents() const {
     const auto remembers = [](const auto& agent) { return agent->RemembersNewKeys(); };
     while (!std::all_of(agents_.begin(), agents_.end(), remembers)) {
       std::this_thread::yield();
@@ -322,9 +323,9 @@
   // Repeats the request until the first agent knows that the other one has capacity; before, it
   // refuses the request as not run. Returns when the other endpoint has `count` requests, the last
   // of which ends with `end`.
-  std::shared_ptr<Answer> AskElsewhere(const std::string& method, const std::string& body,
-                                       const quic::HeaderFields& fields, std::size_t count,
-                                       const std::string& end) {
+  std::shared_ptr<Answer> RequestUntilHandedOver(const std::string& method, const std::string& body,
+                                                 const quic::HeaderFields& fields,
+                                                 std::size_t count, const std::string& end) {
     std::shared_ptr<Answer> answer = Ask(method, body, fields);
     RunUntil(loop_.get(), [&] {
       if (answer->IsOver()) {
@@ -367,7 +368,7 @@
         endpoint_->Received(0).starts_with("POST /events HTTP/1.1\r\nhost: service.example\r\n"));
     endpoint_->Send(0, "HTTP/1.1 201 Created\r\nContent-Length: 4\r\nX-A: b\r\n\r\ndone");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT_EQUAL(201, answer->head.status);
     CPPUNIT_ASSERT_EQUAL(std::string("done"), answer->body);
   }
@@ -380,29 +381,29 @@
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kSize) + "\r\n\r\n" +
                            std::string(kSize, 'd'));
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT(answer->body == std::string(kSize, 'd'));
   }
 
   // A balancer with a different table may send a connection's packets to any agent.
-  void PacketsOfAnotherAgentsConnectionReachIt() {
+  void MisroutedPacketsReachTheAgentOfTheirConnection() {
     fabric_->misroute_to = agents_[1]->Entry();
     const auto answer = Ask("GET");
     WaitForRequest(1);
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
   }
 
-  void ACutAnswerIsResetAndAnUnsentRequestRefused() {
-    const auto cut = Ask("GET");
+  void ATruncatedAnswerIsResetAndAnUnsentRequestRefused() {
+    const auto truncated_answer = Ask("GET");
     WaitForRequest(1);
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
-    RunUntil(loop_.get(), [&] { return cut->body == "half"; });
+    RunUntil(loop_.get(), [&] { return truncated_answer->body == "half"; });
     endpoint_->Close(0);
-    WaitForAnswer(*cut);
-    CPPUNIT_ASSERT(cut->failure->kind == quic::RequestFailure::Kind::kReset);
-    CPPUNIT_ASSERT(!cut->failure->WasNotRun());
+    WaitForAnswer(*truncated_answer);
+    CPPUNIT_ASSERT(truncated_answer->failure->kind == quic::RequestFailure::Kind::kReset);
+    CPPUNIT_ASSERT(!truncated_answer->failure->WasNotRun());
     const auto broken = Ask("POST", "once");
     WaitForRequest(2);
     endpoint_->Close(1);
@@ -419,7 +420,7 @@
   }
 
   void AKeyedRequestRunsOnceAndARepeatGetsItsAnswer() {
-    const quic::HeaderFields key{{"idempotency-key", KeyThatAgentsVouchFor()}};
+    const quic::HeaderFields key{{"idempotency-key", NewKeyKnownToAllAgents()}};
     const auto first = Ask("POST", "one", key);
     WaitForRequest(1, "0\r\n\r\n");
     endpoint_->Send(0, "HTTP/1.1 201 Created\r\nContent-Length: 4\r\n\r\ndone");
@@ -438,7 +439,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoint_->Count());
   }
 
-  void AMalformedDeadlineIsRefusedWithWords() {
+  void AMalformedDeadlineIsRefusedWithAMessage() {
     const auto answer = Ask("GET", "", {{"grpc-timeout", "soon"}});
     WaitForAnswer(*answer);
     CPPUNIT_ASSERT_EQUAL(400, answer->head.status);
@@ -458,10 +459,10 @@
     RunUntil(loop_.get(), [&] { return events_answer->body == "1\n2\n"; });
     endpoint_->Send(0, "0\r\n\r\n");
     WaitForAnswer(*events_answer);
-    CPPUNIT_ASSERT(events_answer->is_whole);
+    CPPUNIT_ASSERT(events_answer->is_complete);
   }
 
-  void ARestartedAgentTellsItsCallers() {
+  void ARestartedAgentResetsFormerConnections() {
     const auto events_answer = Ask("GET");
     WaitForRequest(1);
     const base::SocketAddress data_address = agents_[0]->Entry().data_address;
@@ -475,7 +476,7 @@
                            events_.end->kind == quic::ConnectionEnd::Kind::kStatelessReset);
   }
 
-  void ANewCertificateCutsNothing() {
+  void ANewCertificateKeepsConnectionsOpen() {
     const quic::CertificatePair newer = MakePair();
     CPPUNIT_ASSERT(agents_[0]->Worker().Send(MakeCredentials(newer)));
     // The data task handles the message asynchronously; earlier callers still get the old
@@ -490,16 +491,16 @@
     WaitForRequest(1);
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
   }
 
   void ADrainedEndpointsRequestRunsOnceAtAnother() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
-    const quic::HeaderFields key{{"idempotency-key", KeyThatAgentsVouchFor()}};
-    const auto answer = AskElsewhere("POST", "reserve", key, 1, "reserve\r\n0\r\n\r\n");
+    const quic::HeaderFields key{{"idempotency-key", NewKeyKnownToAllAgents()}};
+    const auto answer = RequestUntilHandedOver("POST", "reserve", key, 1, "reserve\r\n0\r\n\r\n");
     other_endpoint_->Send(0, "HTTP/1.1 201 Created\r\nContent-Length: 4\r\n\r\ndone");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT_EQUAL(201, answer->head.status);
     CPPUNIT_ASSERT_EQUAL(std::string("done"), answer->body);
     const auto repeat = Ask("POST", "reserve", key);
@@ -516,7 +517,7 @@
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
     const std::string body = std::string(kSize / 2, 'u') + std::string(kSize / 2, 'v');
     const auto answer =
-        AskElsewhere("POST", body, {{"content-length", std::to_string(kSize)}}, 1, "v");
+        RequestUntilHandedOver("POST", body, {{"content-length", std::to_string(kSize)}}, 1, "v");
     // Received() includes the head, so it exceeds kSize bytes before the body is complete.
     const std::string end = "\r\n\r\n" + body;
     RunUntil(loop_.get(), [&] {
@@ -526,13 +527,13 @@
     other_endpoint_->Send(
         0, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kSize) + "\r\n\r\n" + body);
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT(answer->body == body);
   }
 
   void ARequestThatCouldNotBeSentRunsAtAnotherEndpoint() {
     endpoint_->Refuse();
-    const auto answer = AskElsewhere("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
+    const auto answer = RequestUntilHandedOver("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
     other_endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     WaitForAnswer(*answer);
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), answer->body);
@@ -551,7 +552,7 @@
     CPPUNIT_ASSERT(!quic::FindField(answer->head.fields, "retry-after").empty());
   }
 
-  void SwitchedOffNothingIsHandedOver() {
+  void NothingIsHandedOverWhenSwitchedOff() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOff));
     // The first request may arrive before the settings are applied; the others arrive after.
     for (int request = 0; request < 3; ++request) {
@@ -561,21 +562,21 @@
       });
       endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
       WaitForAnswer(*answer);
-      CPPUNIT_ASSERT(answer->is_whole);
+      CPPUNIT_ASSERT(answer->is_complete);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, other_endpoint_->Count());
   }
 
   void ACancelledRequestEndsAtTheOtherEndpoint() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
-    AskElsewhere("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
+    RequestUntilHandedOver("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
     caller_->Close();
     RunUntil(loop_.get(), [&] { return other_endpoint_->IsClosed(0); });
   }
 
   void ALostPeerLeavesTheOutcomeUnknown() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
-    const auto answer = AskElsewhere("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
+    const auto answer = RequestUntilHandedOver("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
     const base::SocketAddress data_address = agents_[1]->Entry().data_address;
     agents_[1].reset();
     agents_[1] = MakeAgent(2, 2, data_address);
--- a/daemons/agent/tests/progress_monitor_test.cpp
+++ b/daemons/agent/tests/progress_monitor_test.cpp
@@ -9,21 +9,21 @@
 
 class ProgressMonitorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ProgressMonitorTest);
-  CPPUNIT_TEST(WhatMakesNoProgressIsToldOnce);
-  CPPUNIT_TEST(ProgressBeginsTheTimeAnew);
-  CPPUNIT_TEST(WhatWasDoneIsForgotten);
-  CPPUNIT_TEST(EachCountsByItself);
+  CPPUNIT_TEST(AStallIsReportedOnce);
+  CPPUNIT_TEST(ProgressRestartsTheStallTime);
+  CPPUNIT_TEST(RemovedItemsAreForgotten);
+  CPPUNIT_TEST(ItemsAreTrackedSeparately);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WhatMakesNoProgressIsToldOnce() {
+  void AStallIsReportedOnce() {
     CPPUNIT_ASSERT(monitor_.TakeStalled({{4, 10}}, At(0)).empty());
     CPPUNIT_ASSERT(monitor_.TakeStalled({{4, 10}}, At(4)).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, monitor_.TakeStalled({{4, 10}}, At(5)).size());
     CPPUNIT_ASSERT(monitor_.TakeStalled({{4, 10}}, At(20)).empty());
   }
 
-  void ProgressBeginsTheTimeAnew() {
+  void ProgressRestartsTheStallTime() {
     monitor_.TakeStalled({{4, 10}}, At(0));
     CPPUNIT_ASSERT(monitor_.TakeStalled({{4, 11}}, At(4)).empty());
     CPPUNIT_ASSERT(monitor_.TakeStalled({{4, 11}}, At(8)).empty());
@@ -32,13 +32,13 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, monitor_.TakeStalled({{4, 12}}, At(15)).size());
   }
 
-  void WhatWasDoneIsForgotten() {
+  void RemovedItemsAreForgotten() {
     monitor_.TakeStalled({{4, 10}}, At(0));
     monitor_.TakeStalled({}, At(3));
     CPPUNIT_ASSERT(monitor_.TakeStalled({{4, 10}}, At(6)).empty());
   }
 
-  void EachCountsByItself() {
+  void ItemsAreTrackedSeparately() {
     monitor_.TakeStalled({{4, 10}, {8, 10}}, At(0));
     const std::vector<int> stalled = monitor_.TakeStalled({{4, 10}, {8, 20}}, At(5));
     CPPUNIT_ASSERT(stalled == std::vector{4});
