--- a/daemons/balancer/src/balancer_worker.cpp
+++ b/daemons/balancer/src/balancer_worker.cpp
@@ -8,7 +8,8 @@
 constexpr std::size_t kViewInboxCapacity = 16;
 constexpr std::size_t kSocketBufferBytes = std::size_t{4} << 20U;
 constexpr base::Duration kPublishPeriod = std::chrono::milliseconds(250);
-// Batches taken in one go, so that views and timers get their turn under full load.
+// Batches received per loop iteration. The limit lets views and timers be processed under full
+// load.
 constexpr int kBatchesPerWakeUp = 32;
 
 }  // namespace
--- a/daemons/balancer/src/balancer_worker.h
+++ b/daemons/balancer/src/balancer_worker.h
@@ -1,4 +1,4 @@
-// The balancer's data task: a thread with its socket, its view and nothing shared.
+// The balancer's data task: a thread with its own socket and view that shares no state.
 #pragma once
 
 #include <atomic>
@@ -18,7 +18,7 @@
 using ViewPointer = std::shared_ptr<const control::NodeView>;
 
 // Receives sprayed datagrams on its own socket and forwards them. Takes no lock; other threads
-// reach it by PublishView() only.
+// communicate with it through PublishView() only.
 class BalancerWorker {
  public:
   // Binds the data port; throws std::system_error, naming the address, when that fails.
@@ -29,14 +29,14 @@
   // Starts forwarding. Datagrams are dropped as "no_view" until the first view.
   void Start() { task_.Start(); }
 
-  // Returns the clock of the processor time that the thread has used, while it runs.
+  // Returns the CPU-time clock of the thread. Valid while the thread runs.
   clockid_t ProcessorClock() { return task_.ProcessorClock(); }
 
-  // Ends the thread and waits for it.
+  // Stops the thread and waits for it to end.
   void Stop();
 
-  // Hands the worker a newer view. Returns false when its inbox is full: publish the newest view
-  // again later. Any thread.
+  // Passes a newer view to the worker. Returns false when its inbox is full: publish the newest
+  // view again later. Any thread.
   bool PublishView(ViewPointer view) { return views_.TrySend(std::move(view)); }
 
   // Returns the address bound, with the port the system chose.
--- a/daemons/balancer/src/datagram_forwarder.h
+++ b/daemons/balancer/src/datagram_forwarder.h
@@ -14,22 +14,22 @@
 
 namespace gaugevalve::balancer {
 
-// Joins the batches, the codecs and the decision core. Owned by one thread. Payloads are never
-// copied: the header is written beside them and the system gathers both.
+// Combines the batches, the codecs and the decision core. Owned by one thread. Payloads are never
+// copied: the header is written to a separate buffer and both are sent by gather I/O.
 class DatagramForwarder {
  public:
   // `router` may be null and must outlive this; so must `registry`.
   DatagramForwarder(const flow::SourceLimiterSettings& source_limit,
                     const forwarding::ConnectionIdRouter* router, prometheus::Registry& registry);
 
-  // Goes by this view from now on.
+  // Uses this view for the following datagrams.
   void SetView(std::shared_ptr<const control::NodeView> view);
 
   // Receives up to a batch of datagrams from the socket and forwards them on the same one. Returns
   // how many were received.
   std::size_t ForwardBatch(int descriptor, base::TimePoint now);
 
-  // Carries the counts over to the metrics.
+  // Adds the counts since the last call to the metrics.
   void PublishCounters();
 
  private:
--- a/daemons/balancer/src/main.cpp
+++ b/daemons/balancer/src/main.cpp
@@ -1,4 +1,5 @@
-// gaugevalve-balancer: receives sprayed datagrams, picks the agent of each, forwards it.
+// gaugevalve-balancer: receives the datagrams that the fabric distributes over the balancers,
+// chooses the agent of each and forwards it.
 
 #include <algorithm>
 #include <chrono>
@@ -35,11 +36,12 @@
 
 constexpr base::Duration kDropLogPeriod = std::chrono::seconds(10);
 constexpr base::Duration kDrainPollPeriod = std::chrono::milliseconds(100);
-// A balancer that drains ends once nothing has come for this long: the fabric has let go of it.
+// A draining balancer ends once it has received no datagram for this time: the fabric then no
+// longer sends to it.
 constexpr base::Duration kQuietTime = std::chrono::seconds(1);
 
-// Returns the router for the keys that the settings name, or null when they name none. Throws
-// base::FindingsError for a key file that can't be used.
+// Returns a router that uses the key file of the settings, or null if they name none. Throws
+// base::FindingsError if the key file is invalid.
 std::unique_ptr<const forwarding::ConnectionIdRouter> MakeRouter(
     const settings::NodeSettings& node) {
   if (node.connection_id_key_file.empty()) {
@@ -54,7 +56,7 @@
       std::make_shared<const connection_id::Codec>(keys));
 }
 
-// What a running balancer consists of, on the main thread's loop.
+// Components of a running balancer. Uses the main thread's loop.
 class Balancer {
  public:
   explicit Balancer(const daemon::CommandLine& command_line)
@@ -71,7 +73,7 @@
         signals_(
             loop_.get(), [this] { StartDrain(); }, [this] { End(daemon::kForcedStop); }) {}
 
-  // Runs until the process is to end; returns its exit code.
+  // Runs until the process should end. Returns the exit code.
   int Run() {
     PublishFirstView();
     worker_.Start();
@@ -87,7 +89,7 @@
   }
 
  private:
-  // With static settings there is one view for ever; otherwise the control task sends newer ones.
+  // With static settings the first view never changes. Otherwise the control task sends newer ones.
   void PublishFirstView() {
     const settings::NodeSettings& node = command_line_.settings;
     if (node.static_settings) {
--- a/daemons/common/include/gaugevalve/daemon/control_task.h
+++ b/daemons/common/include/gaugevalve/daemon/control_task.h
@@ -20,22 +20,23 @@
 
 namespace gaugevalve::daemon {
 
-// What the daemon gives its control task.
+// Parameters of a ControlTask.
 struct ControlTaskSettings {
   settings::NodeSettings node;
   base::Incarnation life;
-  base::SocketAddress data_address;  // as bound
+  base::SocketAddress data_address;  // the bound address, including the port
 };
 
-// Runs on the loop of the thread that makes it and owns everything of its own; the data task gets
-// immutable views. A balancer that is among the store's readers has a store client, a watch on the
-// settings and a candidate for the coordinator's lease; the others don't touch the store.
+// Runs on the loop of the thread that creates it and shares no mutable state: the data task gets
+// immutable views. A balancer that is one of the store's readers has a store client, a watch on the
+// settings and a candidate for the coordinator's lease. Other nodes don't access the store.
 class ControlTask final : private store::WatchObserver {
  public:
-  // Hands a view to the data task; returns false when its inbox is full: it is offered again.
+  // Passes a view to the data task. Returns false when its inbox is full; the view is then offered
+  // again.
   using ViewHandler = std::function<bool(std::shared_ptr<const control::NodeView>)>;
 
-  // Called when a newer process has this node's name: this one must end.
+  // Called when a newer process uses this node's name, so that this process must end.
   using SupersededHandler = std::function<void()>;
 
   // Listens on the node's control address and adds /status, /explain and a readiness check to
@@ -50,27 +51,28 @@
   // Joins the group.
   void Start();
 
-  // Takes the data task's newest report (agents).
+  // Sets the data task's newest report. Used by agents.
   void UpdateReport(const routing::AgentReport& report);
 
-  // Tells the group that this node gives up its work: planners take its buckets away.
+  // Announces to the group that this node is leaving, so that planners reassign its buckets.
   void StartLeaving();
 
-  // Says farewell and calls `done` once others have had time to hear it.
+  // Announces to the group that this node has left and calls `done` once the announcement has had
+  // time to arrive.
   void Leave(std::function<void()> done);
 
-  // Sends a message of the daemon's own to a live member; it may be lost, and is when the node
-  // isn't known here.
+  // Sends a message of the daemon to a live member. Delivery is not guaranteed; messages to unknown
+  // nodes are dropped.
   void SendToNode(base::NodeId node, transport::MessageKind kind, const std::string& payload);
 
-  // Sets who takes messages of a kind that isn't the control task's own.
+  // Sets the receiver of a message kind that the control task doesn't handle itself.
   void SetReceiver(transport::MessageKind kind, transport::PeerTransport::Receiver receiver);
 
   // Returns the control address, with the port the system chose.
   base::SocketAddress ControlAddress() const;
 
  private:
-  // What a reader of the store has. Destroyed from the end to the front.
+  // Objects of a reader of the store. Members are destroyed in reverse order, as they require.
   struct StoreAccess {
     std::unique_ptr<store::StoreClient> client;
     std::unique_ptr<store::Watch> watch;
@@ -100,7 +102,7 @@
   std::unique_ptr<control::ControlNode> node_;
   control::Readiness readiness_;
   std::optional<StoreAccess> store_;
-  base::TimePoint unwanted_since_{};  // the store isn't this node's to read since then
+  base::TimePoint unwanted_since_{};  // since when this node should no longer read the store
   base::TimePoint next_review_{};
   std::shared_ptr<const control::NodeView> waiting_view_;
   tasks::Timer timer_;
--- a/daemons/common/include/gaugevalve/daemon/drop_log.h
+++ b/daemons/common/include/gaugevalve/daemon/drop_log.h
@@ -1,4 +1,4 @@
-// Logs how many datagrams were dropped and why, without a line for each.
+// Logs the number of dropped datagrams per reason instead of a line per datagram.
 #pragma once
 
 #include <map>
@@ -9,21 +9,21 @@
 namespace gaugevalve::daemon {
 
 // Compares a metric with the label "reason" to its last reading and writes one event
-// "datagrams_dropped" for each reason that has grown. Runs off the data path, in the thread that
-// has the log.
+// "datagrams_dropped" for each reason that has grown. Runs outside the data path, in the thread
+// that writes the log.
 class DropLog {
  public:
   // Reads the metric `metric_name` of the registry, which must outlive this.
   DropLog(prometheus::Registry& registry, std::string metric_name)
       : registry_(&registry), metric_name_(std::move(metric_name)) {}
 
-  // Writes the events for what happened since the last call. Call it every few seconds.
+  // Writes the events for datagrams dropped since the last call. Call it every few seconds.
   void Write();
 
  private:
   prometheus::Registry* registry_;
   std::string metric_name_;
-  std::map<std::string, double> last_;  // by reason; bounded by the reasons there are
+  std::map<std::string, double> last_;  // by reason; bounded by the number of reasons
 };
 
 }  // namespace gaugevalve::daemon
--- a/daemons/common/include/gaugevalve/daemon/incarnation.h
+++ b/daemons/common/include/gaugevalve/daemon/incarnation.h
@@ -5,7 +5,8 @@
 
 namespace gaugevalve::daemon {
 
-// Returns this life of the process: microseconds since the Unix epoch; see base::Incarnation.
+// Returns a new incarnation for this process: microseconds since the Unix epoch. See
+// base::Incarnation.
 base::Incarnation MakeIncarnation();
 
 }  // namespace gaugevalve::daemon
--- a/daemons/common/include/gaugevalve/daemon/reason_counters.h
+++ b/daemons/common/include/gaugevalve/daemon/reason_counters.h
@@ -1,4 +1,4 @@
-// Counters, also by reason, that the data path can bump for next to nothing.
+// Low-overhead counters for the data path, optionally by reason.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
 prometheus::Counter& MakeCounter(prometheus::Registry& registry, const std::string& name,
                                  const std::string& help);
 
-// A plain counter of one thread, carried over into a metric that other threads may read.
+// A non-atomic counter of one thread that is periodically added to a metric readable by any thread.
 class PublishedCounter {
  public:
   explicit PublishedCounter(prometheus::Counter& metric) : metric_(&metric) {}
 
   void Add(std::uint64_t amount = 1) { pending_ += amount; }
 
-  // Carries what was added since the last call over to the metric. Lock-free.
+  // Adds the count since the last call to the metric. Lock-free.
   void Publish();
 
  private:
@@ -31,21 +31,21 @@
   std::uint64_t pending_ = 0;
 };
 
-// One PublishedCounter for each value of an enumeration whose values count from 0, as a metric with
-// the label "reason". All reasons show from the start, with 0.
+// One PublishedCounter per value of an enumeration with consecutive values from 0, as a metric with
+// the label "reason". All reasons are exported from the start with the value 0.
 class ReasonCounters {
  public:
   // `reason_names[i]` is the label of value i.
   ReasonCounters(prometheus::Registry& registry, const std::string& metric_name,
                  const std::string& help, const std::vector<std::string_view>& reason_names);
 
-  // Counts one for the reason.
+  // Increments the counter of the reason.
   template <class Reason>
   void Add(Reason reason) {
     counters_[static_cast<std::size_t>(reason)].Add();
   }
 
-  // Carries all over to the metrics; called by the counting thread every now and then.
+  // Adds all counts since the last call to the metrics. The counting thread calls it periodically.
   void Publish();
 
  private:
--- a/daemons/common/include/gaugevalve/daemon/shutdown_signals.h
+++ b/daemons/common/include/gaugevalve/daemon/shutdown_signals.h
@@ -1,4 +1,4 @@
-// SIGTERM and SIGINT: the first asks for a drain, the second ends the process.
+// SIGTERM and SIGINT: the first signal starts a drain, the second ends the process.
 #pragma once
 
 #include <functional>
--- a/daemons/common/include/gaugevalve/daemon/static_view.h
+++ b/daemons/common/include/gaugevalve/daemon/static_view.h
@@ -9,9 +9,9 @@
 
 namespace gaugevalve::daemon {
 
-// Returns a view of all static services, with first tables over the static agents. It never grows
-// stale. Nobody knows the others' incarnations here, so they are 0, which agents take for a former
-// life and go by their own table; `own_incarnation` is put in for the node itself.
+// Returns a view of all static services, with first tables over the static agents. It never
+// becomes outdated. The incarnations of other nodes are unknown and set to 0. Agents treat 0 as a
+// former incarnation and use their own table. The node's own entry has `own_incarnation`.
 std::shared_ptr<const control::NodeView> MakeStaticView(const settings::NodeSettings& node,
                                                         base::Incarnation own_incarnation);
 
--- a/daemons/common/src/command_line.cpp
+++ b/daemons/common/src/command_line.cpp
@@ -57,7 +57,7 @@
   return std::string(std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>());
 }
 
-// Reads and checks the settings; appends what is wrong with them.
+// Reads and checks the settings. Appends their faults to the findings.
 std::optional<settings::NodeSettings> LoadSettings(settings::NodeRole role,
                                                    base::Findings& findings) {
   const std::string path = absl::GetFlag(FLAGS_settings);
--- a/daemons/common/src/control_task.cpp
+++ b/daemons/common/src/control_task.cpp
@@ -13,12 +13,12 @@
 namespace gaugevalve::daemon {
 namespace {
 
-// How often the task looks whether the store is its to read.
+// How often the task checks whether this node should read the store.
 constexpr base::Duration kReviewInterval = std::chrono::seconds(1);
-// A node keeps its access to the store for this long after another has become a reader, so that
-// there is always one.
+// A node keeps its access to the store for this time after another node has become a reader, so
+// that there is always at least one reader.
 constexpr base::Duration kStoreHandover = std::chrono::seconds(30);
-// Time for a farewell to be heard.
+// Time for the leave announcement to reach other nodes.
 constexpr base::Duration kFarewellTime = std::chrono::milliseconds(500);
 constexpr base::Duration kLongestSleep = std::chrono::seconds(1);
 constexpr base::Duration kTransactionTimeout = std::chrono::seconds(5);
@@ -153,7 +153,7 @@
   }
 }
 
-// Opens or closes the access to the store as this node's place among the readers asks for.
+// Opens or closes the access to the store depending on whether this node should be a reader.
 void ControlTask::ReviewStoreAccess() {
   const base::TimePoint now = clock_.Now();
   const bool wanted =
@@ -255,7 +255,8 @@
     RunTransaction(*actions.store_transaction);
   }
   for (control::OutgoingEnvelope& envelope : actions.envelopes) {
-    // A message that isn't taken is as good as lost; the protocols above cope with that.
+    // A message that the transport rejects is treated as lost; the protocols tolerate lost
+    // messages.
     transport_->Send(envelope.destination, envelope.kind, std::move(envelope.payload));
   }
   Log(actions);
@@ -280,7 +281,7 @@
 
 void ControlTask::Log(const control::ControlActions& actions) const {
   for (const membership::MembershipEvent& event : actions.member_events) {
-    // A large group makes thousands of these when a node joins it.
+    // A node that joins a large group causes thousands of these events.
     const bool is_ordinary = event.kind == membership::EventKind::kJoined ||
                              event.kind == membership::EventKind::kChanged;
     telemetry::Event(is_ordinary ? telemetry::Level::kDebug : telemetry::Level::kInfo,
--- a/daemons/common/src/static_view.cpp
+++ b/daemons/common/src/static_view.cpp
@@ -7,7 +7,7 @@
 namespace gaugevalve::daemon {
 namespace {
 
-// The version of every table that is written into settings.
+// The version of all tables built from static settings.
 constexpr routing::TableVersion kStaticVersion{0, 0, 1};
 
 std::vector<routing::AgentEntry> AgentsOf(const settings::NodeSettings& node,
