--- a/daemons/balancer/src/main.cpp
+++ b/daemons/balancer/src/main.cpp
@@ -38,7 +38,7 @@
 constexpr base::Duration kDrainPollPeriod = std::chrono::milliseconds(100);
 // A draining balancer ends once it has received no datagram for this time: the fabric then no
 // longer sends to it.
-constexpr base::Duration kQuietTime = std::chrono::seconds(1);
+constexpr base::Duration kDrainQuietTime = std::chrono::seconds(1);
 
 // Returns a router that uses the key file of the settings, or null if they name none. Throws
 // base::FindingsError if the key file is invalid.
@@ -123,13 +123,13 @@
   void PollDrain() {
     const base::TimePoint now = clock_.Now();
     const base::TimePoint last = std::max(worker_.LastDatagramAt(), drain_started_);
-    if (now - last >= kQuietTime || now - drain_started_ >= command_line_.drain_timeout) {
+    if (now - last >= kDrainQuietTime || now - drain_started_ >= command_line_.drain_timeout) {
       drain_timer_.Cancel();
-      SayFarewell();
+      LeaveAndEnd();
     }
   }
 
-  void SayFarewell() {
+  void LeaveAndEnd() {
     if (control_ == nullptr) {
       End(daemon::kSuccess);
     } else {
--- a/daemons/common/include/gaugevalve/daemon/control_task.h
+++ b/daemons/common/include/gaugevalve/daemon/control_task.h
@@ -84,7 +84,7 @@
   void OnStreaming(bool streaming) override;
   void OnLease(const lease::LeaseView& view);
   void OnTimer();
-  void ReviewStoreAccess();
+  void UpdateStoreAccess();
   void OpenStore();
   void RunTransaction(const settings::StoreTransaction& transaction);
   void Perform(control::ControlActions& actions);
@@ -102,12 +102,12 @@
   std::unique_ptr<control::ControlNode> node_;
   control::Readiness readiness_;
   std::optional<StoreAccess> store_;
-  base::TimePoint unwanted_since_{};  // since when this node should no longer read the store
+  base::TimePoint unneeded_since_{};  // since when this node should no longer read the store
   base::TimePoint next_review_{};
   std::shared_ptr<const control::NodeView> waiting_view_;
   tasks::Timer timer_;
-  tasks::Timer farewell_timer_;
-  std::function<void()> farewell_done_;
+  tasks::Timer leave_timer_;
+  std::function<void()> leave_done_;
 };
 
 }  // namespace gaugevalve::daemon
--- a/daemons/common/src/control_task.cpp
+++ b/daemons/common/src/control_task.cpp
@@ -14,15 +14,15 @@
 namespace {
 
 // How often the task checks whether this node should read the store.
-constexpr base::Duration kReviewInterval = std::chrono::seconds(1);
+constexpr base::Duration kStoreReviewInterval = std::chrono::seconds(1);
 // A node keeps its access to the store for this time after another node has become a reader, so
 // that there is always at least one reader.
-constexpr base::Duration kStoreHandover = std::chrono::seconds(30);
+constexpr base::Duration kStoreHandOverTime = std::chrono::seconds(30);
 // Time for the leave announcement to reach other nodes.
-constexpr base::Duration kFarewellTime = std::chrono::milliseconds(500);
-constexpr base::Duration kLongestSleep = std::chrono::seconds(1);
+constexpr base::Duration kLeaveAnnouncementTime = std::chrono::milliseconds(500);
+constexpr base::Duration kMaxSleep = std::chrono::seconds(1);
 constexpr base::Duration kTransactionTimeout = std::chrono::seconds(5);
-constexpr base::Duration kViewRetry = std::chrono::milliseconds(20);
+constexpr base::Duration kViewRetryDelay = std::chrono::milliseconds(20);
 constexpr const char* kJson = "application/json";
 constexpr int kNotFound = 404;
 constexpr int kBadRequest = 400;
@@ -59,7 +59,7 @@
   return options;
 }
 
-std::string_view LeaseWords(const lease::LeaseView& view) {
+std::string_view LeaseStatusText(const lease::LeaseView& view) {
   switch (view.status) {
     case lease::LeaseStatus::kHeld:
       return "held";
@@ -83,7 +83,7 @@
       transport_(std::make_unique<transport::NngPeerTransport>(loop, clock_, IdentityOf(settings))),
       node_(std::make_unique<control::ControlNode>(OptionsOf(settings, transport_->Identity()))),
       timer_(loop, [this] { OnTimer(); }),
-      farewell_timer_(loop, [this] { farewell_done_(); }) {
+      leave_timer_(loop, [this] { leave_done_(); }) {
   for (const transport::MessageKind kind :
        {transport::MessageKind::kMembership, transport::MessageKind::kDissemination,
         transport::MessageKind::kControl}) {
@@ -117,12 +117,12 @@
 }
 
 void ControlTask::Leave(std::function<void()> done) {
-  farewell_done_ = std::move(done);
+  leave_done_ = std::move(done);
   store_.reset();
   control::ControlActions actions;
   node_->Leave(clock_.Now(), actions);
   Perform(actions);
-  farewell_timer_.StartOnce(kFarewellTime);
+  leave_timer_.StartOnce(kLeaveAnnouncementTime);
 }
 
 void ControlTask::SendToNode(base::NodeId node, transport::MessageKind kind,
@@ -148,24 +148,24 @@
   node_->OnTick(now, actions);
   Perform(actions);
   if (now >= next_review_) {
-    next_review_ = now + kReviewInterval;
-    ReviewStoreAccess();
+    next_review_ = now + kStoreReviewInterval;
+    UpdateStoreAccess();
   }
 }
 
 // Opens or closes the access to the store depending on whether this node should be a reader.
-void ControlTask::ReviewStoreAccess() {
+void ControlTask::UpdateStoreAccess() {
   const base::TimePoint now = clock_.Now();
   const bool wanted =
-      !settings_.store_endpoints.empty() && farewell_done_ == nullptr && node_->ShouldUseStore(now);
+      !settings_.store_endpoints.empty() && leave_done_ == nullptr && node_->ShouldUseStore(now);
   if (wanted) {
-    unwanted_since_ = base::TimePoint::max();
+    unneeded_since_ = base::TimePoint::max();
     if (!store_.has_value()) {
       OpenStore();
     }
   } else if (store_.has_value()) {
-    unwanted_since_ = std::min(unwanted_since_, now);
-    if (now >= unwanted_since_ + kStoreHandover) {
+    unneeded_since_ = std::min(unneeded_since_, now);
+    if (now >= unneeded_since_ + kStoreHandOverTime) {
       telemetry::Event(telemetry::Level::kInfo, "store_access_closed")
           .Field("name", settings_.name);
       store_->lease->Resign();
@@ -220,7 +220,7 @@
 void ControlTask::OnLease(const lease::LeaseView& view) {
   telemetry::Event(telemetry::Level::kInfo, "lease_changed")
       .Field("key", settings::kCoordinatorLeaseKey)
-      .Field("status", LeaseWords(view))
+      .Field("status", LeaseStatusText(view))
       .Field("token", view.token.value())
       .Field("renewal_fails", view.renewal_fails);
   control::ControlActions actions;
@@ -265,9 +265,9 @@
   }
   OfferView();
   const base::TimePoint now = clock_.Now();
-  base::TimePoint due = std::min(node_->NextWakeUp(), now + kLongestSleep);
+  base::TimePoint due = std::min(node_->NextWakeUp(), now + kMaxSleep);
   if (waiting_view_ != nullptr) {
-    due = std::min(due, now + kViewRetry);
+    due = std::min(due, now + kViewRetryDelay);
   }
   timer_.StartOnce(std::max(due - now, base::Duration(0)));
   const bool superseded = std::any_of(actions.member_events.begin(), actions.member_events.end(),
@@ -312,7 +312,7 @@
   status.in_use = store_.has_value();
   if (status.in_use) {
     status.streaming = store_->watch->IsStreaming();
-    status.lease = LeaseWords(store_->lease->View());
+    status.lease = LeaseStatusText(store_->lease->View());
   }
   return status;
 }
