--- a/daemons/common/include/gaugevalve/daemon/control_task.h
+++ b/daemons/common/include/gaugevalve/daemon/control_task.h
@@ -23,7 +23,7 @@
 // Parameters of a ControlTask.
 struct ControlTaskSettings {
   settings::NodeSettings node;
-  base::Incarnation life;
+  base::Incarnation incarnation;
   base::SocketAddress data_address;  // the bound address, including the port
 };
 
--- a/daemons/common/src/control_task.cpp
+++ b/daemons/common/src/control_task.cpp
@@ -30,7 +30,7 @@
 transport::SenderIdentity IdentityOf(const ControlTaskSettings& task) {
   transport::SenderIdentity identity;
   identity.node = task.node.Id();
-  identity.incarnation = task.life;
+  identity.incarnation = task.incarnation;
   identity.control_address = task.node.control_address;
   return identity;
 }
@@ -40,7 +40,7 @@
   const settings::NodeSettings& node = task.node;
   control::ControlNodeOptions options;
   options.name = node.name;
-  options.seed = task.life.value() ^ identity.node.value();
+  options.seed = task.incarnation.value() ^ identity.node.value();
   options.membership.seeds = node.seed_peers;
   membership::MemberMetadata& metadata = options.metadata;
   metadata.region = node.region;
@@ -49,7 +49,7 @@
   metadata.data_address = task.data_address;
   metadata.versions = identity.versions;
   metadata.settings_schema = settings::kSchemaVersion;
-  metadata.life = task.life;
+  metadata.life = task.incarnation;
   if (node.agent.has_value()) {
     metadata.role = membership::Role::kAgent;
     metadata.service = base::MakeServiceId(node.agent->service);
