--- a/daemons/agent/src/http3_service.h
+++ b/daemons/agent/src/http3_service.h
@@ -49,7 +49,7 @@
 // Runs in the data task's thread.
 class Http3Service final : public ServiceModule, private quic::DatagramSink {
  public:
-  // `loop` and `output` must outlive this. `backend` takes the requests.
+  // `loop` and `output` must outlive this. `backend` handles the requests.
   Http3Service(event_base* loop, AgentOutput& output, const Http3ServiceSettings& settings,
                std::unique_ptr<RequestBackend> backend, prometheus::Registry& registry);
 
--- a/daemons/balancer/src/balancer_worker.h
+++ b/daemons/balancer/src/balancer_worker.h
@@ -17,8 +17,8 @@
 
 using ViewPointer = std::shared_ptr<const control::NodeView>;
 
-// Receives sprayed datagrams on its own socket and forwards them. Takes no lock; other threads
-// communicate with it through PublishView() only.
+// Receives datagrams of the fabric on its own socket and forwards them. Takes no lock; other
+// threads communicate with it through PublishView() only.
 class BalancerWorker {
  public:
   // Binds the data port; throws std::system_error, naming the address, when that fails.
