--- a/daemons/agent/src/agent_worker.cpp
+++ b/daemons/agent/src/agent_worker.cpp
@@ -9,7 +9,8 @@
 constexpr std::size_t kBatchSize = 64;
 constexpr std::size_t kSocketBufferBytes = std::size_t{4} << 20U;
 constexpr base::Duration kTickPeriod = std::chrono::milliseconds(250);
-// Batches taken in one go, so that answers, messages and timers get their turn under full load.
+// Batches received per loop iteration. The limit lets answers, messages and timers be processed
+// under full load.
 constexpr int kBatchesPerWakeUp = 8;
 
 }  // namespace
@@ -58,10 +59,10 @@
     module_->HandlePeerMessage(peer->sender, peer->payload);
     return;
   }
-  TakeView(*std::get<ViewPointer>(message));
+  ApplyView(*std::get<ViewPointer>(message));
 }
 
-void AgentWorker::TakeView(const control::NodeView& view) {
+void AgentWorker::ApplyView(const control::NodeView& view) {
   for (const control::ServiceView& service : view.services) {
     if (service.id == settings_.service && service.table != nullptr) {
       module_->SetView(service, view.confirmed_at);
--- a/daemons/agent/src/http1_response_parser.cpp
+++ b/daemons/agent/src/http1_response_parser.cpp
@@ -14,7 +14,7 @@
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 constexpr std::size_t kMaxFields = 200;
-constexpr int kSkipBody = 1;  // what http-parser takes from on_headers_complete
+constexpr int kSkipBody = 1;  // return value of on_headers_complete, defined by http-parser
 
 constexpr std::uint64_t kNoLength = std::numeric_limits<std::uint64_t>::max();
 
@@ -68,13 +68,13 @@
   if (state_ != State::kReading || bytes.empty()) {
     return 0;
   }
-  const std::size_t taken = http_parser_execute(
+  const std::size_t consumed = http_parser_execute(
       &parser_, &settings, reinterpret_cast<const char*>(bytes.data()), bytes.size());
   const http_errno error = HTTP_PARSER_ERRNO(&parser_);
   if (error != HPE_OK && error != HPE_PAUSED && state_ == State::kReading) {
     Fail(http_errno_description(error));
   }
-  return taken;
+  return consumed;
 }
 
 void Http1ResponseParser::Pause() {
@@ -105,7 +105,8 @@
 
 void Http1ResponseParser::FinishField() {
   quic::HeaderField field = std::exchange(field_, {});
-  // Trailer fields are dropped: nothing here needs them, and intermediaries may (RFC 9110, 6.5.1).
+  // Trailer fields are dropped: nothing here needs them, and RFC 9110, section 6.5.1, allows
+  // intermediaries to drop them.
   if (!is_in_trailer_ && !field.name.empty() && !IsConnectionField(field.name) &&
       fields_.size() <= kMaxFields) {
     fields_.push_back(std::move(field));
@@ -117,7 +118,7 @@
   last_was_value_ = false;
   const int status = static_cast<int>(parser_.status_code);
   if (status == kSwitchingProtocols) {
-    return Fail("the endpoint switches to another protocol");
+    return Fail("the endpoint switched to another protocol");
   }
   if (status < kFirstFinalStatus) {
     fields_.clear();
@@ -131,7 +132,7 @@
   const bool is_framed =
       (parser_.flags & F_CHUNKED) != 0 || parser_.content_length != kNoLength || has_no_body;
   if (!is_framed) {
-    return Fail("neither Content-Length nor chunked: a half answer would look whole");
+    return Fail("neither Content-Length nor chunked: a truncated answer could not be detected");
   }
   sink_.OnResponseHead({status, std::exchange(fields_, {})});
   return is_head_request_ ? kSkipBody : 0;
@@ -142,14 +143,14 @@
     return 0;  // the final answer follows
   }
   keeps_connection_ = http_should_keep_alive(&parser_) != 0;
-  state_ = State::kWhole;
-  http_parser_pause(&parser_, 1);  // what follows is not to be taken for a second answer
+  state_ = State::kComplete;
+  http_parser_pause(&parser_, 1);  // bytes that follow must not be parsed as a second answer
   return 0;
 }
 
 int Http1ResponseParser::Fail(std::string fault) {
   state_ = State::kMalformed;
-  fault_ = std::move(fault);
+  error_detail_ = std::move(fault);
   return -1;
 }
 
--- a/daemons/agent/src/http3_service.cpp
+++ b/daemons/agent/src/http3_service.cpp
@@ -11,11 +11,11 @@
 namespace gaugevalve::agent {
 namespace {
 
-// How long an agent must be gone before its callers are told to connect anew. Longer than a stop of
-// a process or a lagging table should last.
+// How long an agent must be gone before its callers' connections are reset. Longer than a pause of
+// a process or the delay of a table should last.
 constexpr std::chrono::seconds kDepartureGrace{10};
 
-// A datagram to the agent that issued its ID is passed on once; a second time means that two agents
+// A datagram is passed on once to the agent that issued its ID. A second hop means that two agents
 // disagree about addresses.
 constexpr std::uint8_t kMaxIssuerHops = flow::kMaxHops;
 
@@ -24,17 +24,17 @@
   return &prometheus::BuildGauge().Name(name).Help(help).Register(registry).Add({});
 }
 
-// A new life begins its nonces elsewhere than the one before, should both share the short
-// incarnation.
+// Derives the first nonce from the full incarnation, so that two incarnations with the same short
+// form start at different nonces.
 std::uint32_t FirstNonce(const flow::AgentIdentity& identity) {
   return static_cast<std::uint32_t>(
       base::HashPair(identity.node.value(), identity.incarnation.value()));
 }
 
-bool MayOpen(const connection_id::InvariantHeader& packet) {
+bool MayOpenConnection(const connection_id::InvariantHeader& packet) {
   const bool is_other_version =
       packet.is_long && packet.version != connection_id::kQuicVersion1 && packet.version != 0;
-  return packet.is_initial || is_other_version;  // the latter for version negotiation
+  return packet.is_initial || is_other_version;  // other versions lead to version negotiation
 }
 
 quic::Path PathOf(const wire::ProxyDatagram& datagram) {
@@ -65,12 +65,12 @@
       expiry_timer_(loop,
                     [this] {
                       server_.HandleExpiry(clock_.Now());
-                      FinishOwnActivity();
+                      FlushAndUpdateTimer();
                     }),
       flush_timer_(loop,
                    [this] {
                      server_.Flush(clock_.Now());
-                     FinishOwnActivity();
+                     FlushAndUpdateTimer();
                    }),
       backend_(std::move(backend)),
       server_(
@@ -127,13 +127,13 @@
   const auto origin = codec_->Decode(id);
   const routing::AgentEntry* issuer = origin ? table_->FindAgent(origin->node) : nullptr;
   if (origin && origin->node == ownership_.Identity().node) {
-    HandleOfOwnIssue(*packet, datagram, now);
+    HandleOwnConnectionId(*packet, datagram, now);
   } else if (issuer != nullptr) {
     PassToIssuer(*issuer, datagram, header);
-  } else if (MayOpen(*packet)) {
-    HandleFirst(datagram, header, now);
+  } else if (MayOpenConnection(*packet)) {
+    HandleFirstPacket(datagram, header, now);
   } else {
-    HandleOrphan(*packet, origin, datagram, now);
+    HandleUnknownConnection(*packet, origin, datagram, now);
   }
 }
 
@@ -159,12 +159,12 @@
   UpdateTimer();
 }
 
-// The ID is this agent's, of this life or a former one, but the connection isn't here: nobody else
-// can have it.
-void Http3Service::HandleOfOwnIssue(const connection_id::InvariantHeader& packet,
-                                    const wire::ProxyDatagram& datagram, base::TimePoint now) {
+// Handles an ID that this or an earlier incarnation of this agent issued, without an open
+// connection. No other agent can have the connection.
+void Http3Service::HandleOwnConnectionId(const connection_id::InvariantHeader& packet,
+                                         const wire::ProxyDatagram& datagram, base::TimePoint now) {
   if (packet.is_initial) {
-    Serve(datagram, now);  // a caller that answers a Retry
+    Serve(datagram, now);  // the caller's response to a Retry packet
   } else if (!packet.is_long) {
     Reset(datagram, now);
   } else {
@@ -185,8 +185,8 @@
   output_->PassOn(issuer.data_address, datagram, header);
 }
 
-void Http3Service::HandleFirst(const wire::ProxyDatagram& datagram, wire::ForwardingHeader& header,
-                               base::TimePoint now) {
+void Http3Service::HandleFirstPacket(const wire::ProxyDatagram& datagram,
+                                     wire::ForwardingHeader& header, base::TimePoint now) {
   const flow::OwnershipDecision decision = ownership_.Decide(header, std::nullopt, now);
   switch (decision.verdict) {
     case flow::Verdict::kOpen:
@@ -202,9 +202,10 @@
   }
 }
 
-void Http3Service::HandleOrphan(const connection_id::InvariantHeader& packet,
-                                const std::optional<connection_id::Origin>& origin,
-                                const wire::ProxyDatagram& datagram, base::TimePoint now) {
+void Http3Service::HandleUnknownConnection(const connection_id::InvariantHeader& packet,
+                                           const std::optional<connection_id::Origin>& origin,
+                                           const wire::ProxyDatagram& datagram,
+                                           base::TimePoint now) {
   const bool is_gone = origin && departed_.HasLeft(origin->node, kDepartureGrace, now);
   if (is_gone && !packet.is_long) {
     Reset(datagram, now);
@@ -225,10 +226,10 @@
   ownership_.StartDraining(now);
   server_.Drain(now);
   backend_->StartDraining();
-  FinishOwnActivity();
+  FlushAndUpdateTimer();
 }
 
-// Only first packets go by bucket, so only connections in handshake count as held in one.
+// Only first packets are routed by bucket, so only connections in handshake are counted per bucket.
 void Http3Service::FillReport(routing::AgentReport& report) const {
   const flow::AgentIdentity& identity = ownership_.Identity();
   report.service = identity.service;
@@ -248,7 +249,7 @@
   }
 }
 
-// Tells of answers whose callers have acknowledged nothing for a while.
+// Logs answers for which the caller has acknowledged no data for kStallTime.
 void Http3Service::LogUnacknowledged(base::TimePoint now) {
   const std::vector<quic::StreamOutput> outputs = server_.WaitingOutputs();
   std::vector<decltype(unacknowledged_)::Item> items;
@@ -301,7 +302,7 @@
   output_->SendAnswer(path.local, path.remote, std::span(slot).first(payload.size()));
 }
 
-void Http3Service::FinishOwnActivity() {
+void Http3Service::FlushAndUpdateTimer() {
   output_->Flush();
   used_answers_ = 0;
   UpdateTimer();
--- a/daemons/agent/tests/http3_service_test.cpp
+++ b/daemons/agent/tests/http3_service_test.cpp
@@ -1,4 +1,4 @@
-// Agents of an http3 service between a fabric and an endpoint, all on loopback.
+// Tests of Http3Service and RequestService: agents between a fabric and endpoints, all on loopback.
 #include "http3_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -56,7 +56,7 @@
   return text.data();
 }
 
-// Carries messages between the agents of a test. Thread-safe; a message to nobody is lost.
+// Delivers messages between the agents of a test. Messages to unknown agents are lost. Thread-safe.
 class PeerExchange {
  public:
   void Add(base::NodeId node, AgentWorker* worker) {
@@ -83,7 +83,7 @@
 // Returns the name of an agent's endpoint in the settings tree.
 std::string EndpointName(std::uint64_t node) { return "orders-" + std::to_string(node); }
 
-// A service that has just begun forgets nothing here, so that keyed requests run at once.
+// Limits that let an agent run keyed requests immediately after its start.
 requests::AtMostOnceLimits WithoutStartUpTime() {
   requests::AtMostOnceLimits limits;
   limits.freshness = base::Duration(1);
@@ -91,14 +91,15 @@
   return limits;
 }
 
-// One life of an agent, with its worker's thread.
+// One incarnation of an agent, with its worker's thread.
 class TestAgent {
  public:
-  TestAgent(std::uint64_t node, std::uint64_t life, const base::SocketAddress& data_address,
-            const base::SocketAddress& egress, const base::SocketAddress& endpoint,
-            const quic::CertificatePair& pair, PeerExchange& peers)
+  TestAgent(std::uint64_t node, std::uint64_t incarnation_number,
+            const base::SocketAddress& data_address, const base::SocketAddress& egress,
+            const base::SocketAddress& endpoint, const quic::CertificatePair& pair,
+            PeerExchange& peers)
       : peers_(peers),
-        identity_{base::NodeId(node), base::Incarnation(life * 1'000'000), kService},
+        identity_{base::NodeId(node), base::Incarnation(incarnation_number * 1'000'000), kService},
         worker_(
             {data_address, egress, kService, EndpointName(node)},
             [&](event_base* loop, AgentOutput& output) {
@@ -120,7 +121,8 @@
 
   AgentWorker& Worker() { return worker_; }
 
-  // Tells whether the worker has taken its table and vouches for keys made from now on.
+  // Returns whether the worker has applied its table and knows that keys created from now on are
+  // new.
   bool RemembersNewKeys() const {
     for (const prometheus::MetricFamily& family : registry_.Collect()) {
       if (family.name == "gaugevalve_agent_remembers_new_keys") {
@@ -159,9 +161,9 @@
 struct Answer {
   quic::ResponseHead head;
   std::string body;
-  bool is_whole = false;
+  bool is_complete = false;
   std::optional<quic::RequestFailure> failure;
-  bool IsOver() const { return is_whole || failure.has_value(); }
+  bool IsOver() const { return is_complete || failure.has_value(); }
 };
 
 class AnswerRecorder final : public quic::ResponseHandler {
@@ -171,7 +173,7 @@
   void OnBody(std::span<const std::uint8_t> bytes) override {
     answer_->body.append(reinterpret_cast<const char*>(bytes.data()), bytes.size());
   }
-  void OnEnd() override { answer_->is_whole = true; }
+  void OnEnd() override { answer_->is_complete = true; }
   void OnFailed(const quic::RequestFailure& failure) override { answer_->failure = failure; }
 
  private:
@@ -192,18 +194,18 @@
   CPPUNIT_TEST_SUITE(Http3ServiceTest);
   CPPUNIT_TEST(ARequestReachesTheEndpointAndItsAnswerTheCaller);
   CPPUNIT_TEST(LargeBodiesPassBothWays);
-  CPPUNIT_TEST(PacketsOfAnotherAgentsConnectionReachIt);
-  CPPUNIT_TEST(ACutAnswerIsResetAndAnUnsentRequestRefused);
+  CPPUNIT_TEST(MisroutedPacketsReachTheAgentOfTheirConnection);
+  CPPUNIT_TEST(ATruncatedAnswerIsResetAndAnUnsentRequestRefused);
   CPPUNIT_TEST(AKeyedRequestRunsOnceAndARepeatGetsItsAnswer);
-  CPPUNIT_TEST(AMalformedDeadlineIsRefusedWithWords);
+  CPPUNIT_TEST(AMalformedDeadlineIsRefusedWithAMessage);
   CPPUNIT_TEST(AnEventStreamSurvivesADrainAndAChangeOfAddress);
-  CPPUNIT_TEST(ARestartedAgentTellsItsCallers);
-  CPPUNIT_TEST(ANewCertificateCutsNothing);
+  CPPUNIT_TEST(ARestartedAgentResetsFormerConnections);
+  CPPUNIT_TEST(ANewCertificateKeepsConnectionsOpen);
   CPPUNIT_TEST(ADrainedEndpointsRequestRunsOnceAtAnother);
   CPPUNIT_TEST(LargeBodiesPassBothWaysThroughAnotherAgent);
   CPPUNIT_TEST(ARequestThatCouldNotBeSentRunsAtAnotherEndpoint);
   CPPUNIT_TEST(WithoutAPeerADrainedEndpointRefusesAtOnce);
-  CPPUNIT_TEST(SwitchedOffNothingIsHandedOver);
+  CPPUNIT_TEST(NothingIsHandedOverWhenSwitchedOff);
   CPPUNIT_TEST(ACancelledRequestEndsAtTheOtherEndpoint);
   CPPUNIT_TEST(ALostPeerLeavesTheOutcomeUnknown);
   CPPUNIT_TEST_SUITE_END();
@@ -211,7 +213,7 @@
   tasks::LoopPointer loop_;
   base::SystemClock clock_;
   quic::CertificatePair pair_;
-  std::unique_ptr<ScriptedEndpoint> endpoint_;  // of the first agent, which has the caller
+  std::unique_ptr<ScriptedEndpoint> endpoint_;  // of the first agent, to which the caller connects
   std::unique_ptr<ScriptedEndpoint> other_endpoint_;
   std::unique_ptr<TestFabric> fabric_;
   PeerExchange peers_;
@@ -219,14 +221,14 @@
   Events events_;
   std::unique_ptr<quic::UdpClient> caller_;
 
-  std::unique_ptr<TestAgent> MakeAgent(std::uint64_t node, std::uint64_t life,
+  std::unique_ptr<TestAgent> MakeAgent(std::uint64_t node, std::uint64_t incarnation_number,
                                        const base::SocketAddress& data_address) {
     const ScriptedEndpoint& endpoint = node == 1 ? *endpoint_ : *other_endpoint_;
-    return std::make_unique<TestAgent>(node, life, data_address, fabric_->EgressAddress(),
-                                       endpoint.Address(), pair_, peers_);
+    return std::make_unique<TestAgent>(node, incarnation_number, data_address,
+                                       fabric_->EgressAddress(), endpoint.Address(), pair_, peers_);
   }
 
-  // Settings in which the first agent's endpoint drains.
+  // Returns settings in which the first agent's endpoint drains.
   static std::shared_ptr<const settings::ServiceSettings> DrainFirst(
       settings::HandOverSwitch hand_over) {
     auto service = std::make_shared<settings::ServiceSettings>();
@@ -243,8 +245,8 @@
     return service;
   }
 
-  // Tells all agents and the balancer that every bucket is the first agent's. Without settings the
-  // agents go by their defaults.
+  // Sends all agents and the balancer a view in which the first agent owns every bucket. Without
+  // settings the agents use their defaults.
   void PublishView(std::shared_ptr<const settings::ServiceSettings> service_settings = nullptr) {
     auto table = std::make_shared<routing::BucketTable>();
     table->service = kService;
@@ -286,7 +288,8 @@
     return answer;
   }
 
-  // Waits until the endpoint has had `count` connections and the last ends with `end`.
+  // Waits until the endpoint has accepted `count` connections and the input on the last ends with
+  // `end`.
   void WaitForRequest(std::size_t count, const std::string& end = "\r\n\r\n") {
     RunUntil(loop_.get(), [&] {
       return endpoint_->Count() == count && endpoint_->Received(count - 1).ends_with(end);
@@ -297,10 +300,10 @@
     RunUntil(loop_.get(), [&] { return answer.IsOver(); });
   }
 
-  // Returns a key for which all agents vouch: made in a later millisecond than that in which the
-  // last of their threads took the table. One made before may have run in a former life, for all
-  // they know.
-  std::string KeyThatAgentsVouchFor() const {
+  // Returns a key that all agents know to be new: created at least one millisecond after the last
+  // of them applied the table. An agent can't rule out that an older key ran in an earlier
+  // incarnation.
+  std::string NewKeyKnownToAllAgents() const {
     const auto remembers = [](const auto& agent) { return agent->RemembersNewKeys(); };
     while (!std::all_of(agents_.begin(), agents_.end(), remembers)) {
       std::this_thread::yield();
@@ -317,11 +320,12 @@
     return std::string(quic::FindField(answer.head.fields, "gaugevalve-outcome"));
   }
 
-  // Asks until the first agent has heard that the other has room: before that it refuses, as not
-  // run. Returns when the other endpoint has `count` requests, the last of which ends with `end`.
-  std::shared_ptr<Answer> AskElsewhere(const std::string& method, const std::string& body,
-                                       const quic::HeaderFields& fields, std::size_t count,
-                                       const std::string& end) {
+  // Repeats the request until the first agent knows that the other one has capacity; before, it
+  // refuses the request as not run. Returns when the other endpoint has `count` requests, the last
+  // of which ends with `end`.
+  std::shared_ptr<Answer> RequestUntilHandedOver(const std::string& method, const std::string& body,
+                                                 const quic::HeaderFields& fields,
+                                                 std::size_t count, const std::string& end) {
     std::shared_ptr<Answer> answer = Ask(method, body, fields);
     RunUntil(loop_.get(), [&] {
       if (answer->IsOver()) {
@@ -364,7 +368,7 @@
         endpoint_->Received(0).starts_with("POST /events HTTP/1.1\r\nhost: service.example\r\n"));
     endpoint_->Send(0, "HTTP/1.1 201 Created\r\nContent-Length: 4\r\nX-A: b\r\n\r\ndone");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT_EQUAL(201, answer->head.status);
     CPPUNIT_ASSERT_EQUAL(std::string("done"), answer->body);
   }
@@ -377,29 +381,29 @@
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kSize) + "\r\n\r\n" +
                            std::string(kSize, 'd'));
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT(answer->body == std::string(kSize, 'd'));
   }
 
-  // A balancer with another table may send a connection's packets to any agent.
-  void PacketsOfAnotherAgentsConnectionReachIt() {
+  // A balancer with a different table may send a connection's packets to any agent.
+  void MisroutedPacketsReachTheAgentOfTheirConnection() {
     fabric_->misroute_to = agents_[1]->Entry();
     const auto answer = Ask("GET");
     WaitForRequest(1);
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
   }
 
-  void ACutAnswerIsResetAndAnUnsentRequestRefused() {
-    const auto cut = Ask("GET");
+  void ATruncatedAnswerIsResetAndAnUnsentRequestRefused() {
+    const auto truncated_answer = Ask("GET");
     WaitForRequest(1);
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
-    RunUntil(loop_.get(), [&] { return cut->body == "half"; });
+    RunUntil(loop_.get(), [&] { return truncated_answer->body == "half"; });
     endpoint_->Close(0);
-    WaitForAnswer(*cut);
-    CPPUNIT_ASSERT(cut->failure->kind == quic::RequestFailure::Kind::kReset);
-    CPPUNIT_ASSERT(!cut->failure->WasNotRun());
+    WaitForAnswer(*truncated_answer);
+    CPPUNIT_ASSERT(truncated_answer->failure->kind == quic::RequestFailure::Kind::kReset);
+    CPPUNIT_ASSERT(!truncated_answer->failure->WasNotRun());
     const auto broken = Ask("POST", "once");
     WaitForRequest(2);
     endpoint_->Close(1);
@@ -416,7 +420,7 @@
   }
 
   void AKeyedRequestRunsOnceAndARepeatGetsItsAnswer() {
-    const quic::HeaderFields key{{"idempotency-key", KeyThatAgentsVouchFor()}};
+    const quic::HeaderFields key{{"idempotency-key", NewKeyKnownToAllAgents()}};
     const auto first = Ask("POST", "one", key);
     WaitForRequest(1, "0\r\n\r\n");
     endpoint_->Send(0, "HTTP/1.1 201 Created\r\nContent-Length: 4\r\n\r\ndone");
@@ -435,7 +439,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, endpoint_->Count());
   }
 
-  void AMalformedDeadlineIsRefusedWithWords() {
+  void AMalformedDeadlineIsRefusedWithAMessage() {
     const auto answer = Ask("GET", "", {{"grpc-timeout", "soon"}});
     WaitForAnswer(*answer);
     CPPUNIT_ASSERT_EQUAL(400, answer->head.status);
@@ -455,27 +459,28 @@
     RunUntil(loop_.get(), [&] { return events_answer->body == "1\n2\n"; });
     endpoint_->Send(0, "0\r\n\r\n");
     WaitForAnswer(*events_answer);
-    CPPUNIT_ASSERT(events_answer->is_whole);
+    CPPUNIT_ASSERT(events_answer->is_complete);
   }
 
-  void ARestartedAgentTellsItsCallers() {
+  void ARestartedAgentResetsFormerConnections() {
     const auto events_answer = Ask("GET");
     WaitForRequest(1);
     const base::SocketAddress data_address = agents_[0]->Entry().data_address;
     agents_[0].reset();
     agents_[0] = MakeAgent(1, 2, data_address);
     PublishView();
-    Ask("GET");  // any packet will do
+    Ask("GET");  // any packet triggers the reset
     WaitForAnswer(*events_answer);
     CPPUNIT_ASSERT(events_answer->failure->kind == quic::RequestFailure::Kind::kConnectionLost);
     CPPUNIT_ASSERT_MESSAGE(events_.end->reason,
                            events_.end->kind == quic::ConnectionEnd::Kind::kStatelessReset);
   }
 
-  void ANewCertificateCutsNothing() {
+  void ANewCertificateKeepsConnectionsOpen() {
     const quic::CertificatePair newer = MakePair();
     CPPUNIT_ASSERT(agents_[0]->Worker().Send(MakeCredentials(newer)));
-    // The data task takes the message when it gets to it; callers before that see the old one.
+    // The data task handles the message asynchronously; earlier callers still get the old
+    // certificate.
     Events events;
     std::unique_ptr<quic::UdpClient> later;
     while (!events.is_connected) {
@@ -486,16 +491,16 @@
     WaitForRequest(1);
     endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
   }
 
   void ADrainedEndpointsRequestRunsOnceAtAnother() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
-    const quic::HeaderFields key{{"idempotency-key", KeyThatAgentsVouchFor()}};
-    const auto answer = AskElsewhere("POST", "reserve", key, 1, "reserve\r\n0\r\n\r\n");
+    const quic::HeaderFields key{{"idempotency-key", NewKeyKnownToAllAgents()}};
+    const auto answer = RequestUntilHandedOver("POST", "reserve", key, 1, "reserve\r\n0\r\n\r\n");
     other_endpoint_->Send(0, "HTTP/1.1 201 Created\r\nContent-Length: 4\r\n\r\ndone");
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT_EQUAL(201, answer->head.status);
     CPPUNIT_ASSERT_EQUAL(std::string("done"), answer->body);
     const auto repeat = Ask("POST", "reserve", key);
@@ -504,7 +509,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("done"), repeat->body);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, other_endpoint_->Count());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, endpoint_->Count());
-    CPPUNIT_ASSERT(!events_.is_leaving && !events_.end);  // the connection stays
+    CPPUNIT_ASSERT(!events_.is_leaving && !events_.end);  // the connection stays open
   }
 
   void LargeBodiesPassBothWaysThroughAnotherAgent() {
@@ -512,8 +517,8 @@
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
     const std::string body = std::string(kSize / 2, 'u') + std::string(kSize / 2, 'v');
     const auto answer =
-        AskElsewhere("POST", body, {{"content-length", std::to_string(kSize)}}, 1, "v");
-    // More than kSize bytes are there before the body is whole: the head counts as well.
+        RequestUntilHandedOver("POST", body, {{"content-length", std::to_string(kSize)}}, 1, "v");
+    // Received() includes the head, so it exceeds kSize bytes before the body is complete.
     const std::string end = "\r\n\r\n" + body;
     RunUntil(loop_.get(), [&] {
       const std::string& received = other_endpoint_->Received(0);
@@ -522,13 +527,13 @@
     other_endpoint_->Send(
         0, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kSize) + "\r\n\r\n" + body);
     WaitForAnswer(*answer);
-    CPPUNIT_ASSERT(answer->is_whole);
+    CPPUNIT_ASSERT(answer->is_complete);
     CPPUNIT_ASSERT(answer->body == body);
   }
 
   void ARequestThatCouldNotBeSentRunsAtAnotherEndpoint() {
     endpoint_->Refuse();
-    const auto answer = AskElsewhere("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
+    const auto answer = RequestUntilHandedOver("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
     other_endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
     WaitForAnswer(*answer);
     CPPUNIT_ASSERT_EQUAL(std::string("ok"), answer->body);
@@ -539,7 +544,7 @@
     agents_.pop_back();
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
     std::shared_ptr<Answer> answer = Ask("POST", "order");
-    while (OutcomeOf(*answer) != "not-run") {  // the settings come to the agent when it gets to it
+    while (OutcomeOf(*answer) != "not-run") {  // the agent applies the settings asynchronously
       RunUntil(loop_.get(), [&] { return answer->IsOver() || endpoint_->Count() > 0; });
       answer = answer->IsOver() ? answer : Ask("POST", "order");
     }
@@ -547,9 +552,9 @@
     CPPUNIT_ASSERT(!quic::FindField(answer->head.fields, "retry-after").empty());
   }
 
-  void SwitchedOffNothingIsHandedOver() {
+  void NothingIsHandedOverWhenSwitchedOff() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOff));
-    // The first one may come before the settings; the others come after.
+    // The first request may arrive before the settings are applied; the others arrive after.
     for (int request = 0; request < 3; ++request) {
       const auto answer = Ask("GET");
       RunUntil(loop_.get(), [&] {
@@ -557,21 +562,21 @@
       });
       endpoint_->Send(0, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
       WaitForAnswer(*answer);
-      CPPUNIT_ASSERT(answer->is_whole);
+      CPPUNIT_ASSERT(answer->is_complete);
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, other_endpoint_->Count());
   }
 
   void ACancelledRequestEndsAtTheOtherEndpoint() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
-    AskElsewhere("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
+    RequestUntilHandedOver("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
     caller_->Close();
     RunUntil(loop_.get(), [&] { return other_endpoint_->IsClosed(0); });
   }
 
   void ALostPeerLeavesTheOutcomeUnknown() {
     PublishView(DrainFirst(settings::HandOverSwitch::kOn));
-    const auto answer = AskElsewhere("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
+    const auto answer = RequestUntilHandedOver("POST", "order", {}, 1, "order\r\n0\r\n\r\n");
     const base::SocketAddress data_address = agents_[1]->Entry().data_address;
     agents_[1].reset();
     agents_[1] = MakeAgent(2, 2, data_address);
