--- a/proofs/dissemination/src/control_world.cpp
+++ b/proofs/dissemination/src/control_simulation.cpp
@@ -1,4 +1,4 @@
-#include "control_world.h"
+#include "control_simulation.h"
 
 #include <algorithm>
 #include <sstream>
@@ -17,11 +17,11 @@
   return {{{"north", "n1"}, {"north", "n2"}, {"south", "s1"}}, {}};
 }
 
-HollowDeploymentSettings MakeDeployment(const ControlWorldSettings& settings) {
+HollowDeploymentSettings MakeDeployment(const ControlSimulationSettings& settings) {
   HollowDeploymentSettings deployment;
-  deployment.balancers = ControlWorld::kBalancers;
-  deployment.services = ControlWorld::kServices;
-  deployment.agents_per_service = ControlWorld::kAgentsPerService;
+  deployment.balancers = ControlSimulation::kBalancers;
+  deployment.services = ControlSimulation::kServices;
+  deployment.agents_per_service = ControlSimulation::kAgentsPerService;
   deployment.is_preloaded = false;
   deployment.options.dissemination.faults.accept_older_records = settings.accept_older_records;
   deployment.options.faults.activate_partially = settings.activate_partially;
@@ -34,14 +34,14 @@
 
 }  // namespace
 
-ControlWorld::ControlWorld(const ControlWorldSettings& settings)
+ControlSimulation::ControlSimulation(const ControlSimulationSettings& settings)
     : simulator_(settings.seed, MakeNetwork()), nodes_(simulator_, MakeDeployment(settings)) {
   Run(std::chrono::seconds(10));
 }
 
-bool ControlWorld::IsLive(std::size_t node) const { return nodes_.IsRunning(node); }
+bool ControlSimulation::IsLive(std::size_t node) const { return nodes_.IsRunning(node); }
 
-std::size_t ControlWorld::RunningBalancers() const {
+std::size_t ControlSimulation::RunningBalancers() const {
   std::size_t running = 0;
   for (std::size_t node = 0; node < kBalancers; ++node) {
     running += IsLive(node) ? 1 : 0;
@@ -49,50 +49,52 @@
   return running;
 }
 
-void ControlWorld::Edit(std::size_t service, std::uint32_t weight) {
+void ControlSimulation::Edit(std::size_t service, std::uint32_t weight) {
   if (nodes_.Store().IsAvailable()) {
     newest_ = nodes_.Edit(service % kServices, weight);
     ++commits_;
   }
 }
 
-void ControlWorld::Kill(std::size_t node) {
+void ControlSimulation::Kill(std::size_t node) {
   const bool is_last = node < kBalancers && RunningBalancers() == 1;
   if (IsLive(node) && !is_last) {
     nodes_.Kill(node);
   }
 }
 
-void ControlWorld::Restart(std::size_t node) {
+void ControlSimulation::Restart(std::size_t node) {
   const bool is_last = node < kBalancers && RunningBalancers() == 1 && IsLive(node);
   if (!is_last) {
     nodes_.Restart(node);
   }
 }
 
-void ControlWorld::Freeze(std::size_t node) {
+void ControlSimulation::Freeze(std::size_t node) {
   if (IsLive(node)) {
     simulator_.Freeze(nodes_.Index(node));
   }
 }
 
-void ControlWorld::Thaw(std::size_t node) {
+void ControlSimulation::Thaw(std::size_t node) {
   if (simulator_.State(nodes_.Index(node)) == simulation::NodeState::kFrozen) {
     simulator_.Thaw(nodes_.Index(node));
   }
 }
 
-void ControlWorld::SetStoreAvailable(bool available) { nodes_.Store().SetAvailable(available); }
+void ControlSimulation::SetStoreAvailable(bool available) {
+  nodes_.Store().SetAvailable(available);
+}
 
-void ControlWorld::SplitRegions() { simulator_.Network().BlockRegions("north", "south"); }
+void ControlSimulation::SplitRegions() { simulator_.Network().BlockRegions("north", "south"); }
 
-void ControlWorld::IsolateNode(std::size_t node) {
+void ControlSimulation::IsolateNode(std::size_t node) {
   simulator_.Network().IsolateNode(nodes_.Index(node));
 }
 
-void ControlWorld::HealNetwork() { simulator_.Network().HealPartitions(); }
+void ControlSimulation::HealNetwork() { simulator_.Network().HealPartitions(); }
 
-void ControlWorld::SetMessageFaults(double probability) {
+void ControlSimulation::SetMessageFaults(double probability) {
   simulation::NetworkFaults faults;
   faults.loss = probability;
   faults.duplication = probability;
@@ -100,14 +102,14 @@
   simulator_.Network().SetFaults(faults);
 }
 
-void ControlWorld::Run(base::Duration duration) {
+void ControlSimulation::Run(base::Duration duration) {
   for (base::Duration done{0}; done < duration; done += kCheckInterval) {
     simulator_.RunFor(kCheckInterval);
     Check();
   }
 }
 
-void ControlWorld::HealAndSettle() {
+void ControlSimulation::HealAndSettle() {
   SetStoreAvailable(true);
   HealNetwork();
   SetMessageFaults(0);
@@ -137,7 +139,7 @@
   }
 }
 
-bool ControlWorld::HasSettled() {
+bool ControlSimulation::HasSettled() {
   bool settled = nodes_.IsInForceEverywhere(newest_);
   for (std::size_t service = 0; service < kServices; ++service) {
     settled = settled && nodes_.HasOneTable(service);
@@ -145,7 +147,7 @@
   return settled;
 }
 
-void ControlWorld::Check() {
+void ControlSimulation::Check() {
   for (std::size_t node = 0; node < kNodes && !violation_; ++node) {
     if (IsLive(node)) {
       CheckNode(node);
@@ -153,7 +155,7 @@
   }
 }
 
-void ControlWorld::CheckNode(std::size_t node) {
+void ControlSimulation::CheckNode(std::size_t node) {
   const control::ControlNode& core = nodes_.Life(node).Core();
   ObservedState& seen = seen_[node];
   if (seen.life != core.Options().metadata.life) {
@@ -165,8 +167,8 @@
   }
 }
 
-void ControlWorld::CheckSettings(std::size_t node, const control::ActiveSettings& active,
-                                 ObservedState& seen) {
+void ControlSimulation::CheckSettings(std::size_t node, const control::ActiveSettings& active,
+                                      ObservedState& seen) {
   if (active.revision < seen.revision) {
     ReportViolation(node, "the active revision went back");
   }
@@ -183,7 +185,7 @@
   }
 }
 
-void ControlWorld::CheckTables(std::size_t node, ObservedState& seen) {
+void ControlSimulation::CheckTables(std::size_t node, ObservedState& seen) {
   for (std::size_t service = 0; service < kServices; ++service) {
     const base::ServiceId id = ServiceAt(service);
     const auto table = nodes_.Life(node).Core().TableOf(id);
@@ -197,7 +199,7 @@
   }
 }
 
-void ControlWorld::ReportViolation(std::size_t node, const std::string& rule) {
+void ControlSimulation::ReportViolation(std::size_t node, const std::string& rule) {
   if (!violation_) {
     violation_ = "node " + std::to_string(node) + ": " + rule;
   }
--- a/proofs/dissemination/src/control_world.h
+++ b/proofs/dissemination/src/control_simulation.h
@@ -12,8 +12,8 @@
 
 namespace gaugevalve::proofs {
 
-// Settings of a world. The flags disable protections, to show that the oracle detects it.
-struct ControlWorldSettings {
+// Settings of a simulation. The flags disable protections, to show that the oracle detects it.
+struct ControlSimulationSettings {
   std::uint64_t seed = 1;
   bool accept_older_records = false;
   bool activate_partially = false;
@@ -23,14 +23,14 @@
 // runs some simulated time and checks these rules:
 // - a balancer's active revision is a committed one, with exactly the settings that were committed;
 // - within the run of a process, neither the active revision nor the version of a table decreases.
-class ControlWorld {
+class ControlSimulation {
  public:
   static constexpr std::size_t kBalancers = 5;
   static constexpr std::size_t kServices = 2;
   static constexpr std::size_t kAgentsPerService = 2;
   static constexpr std::size_t kNodes = kBalancers + kServices * kAgentsPerService;
 
-  explicit ControlWorld(const ControlWorldSettings& settings);
+  explicit ControlSimulation(const ControlSimulationSettings& settings);
 
   // Faults and other steps. A step that does not apply in the current state has no effect.
   void Edit(std::size_t service, std::uint32_t weight);
--- a/proofs/dissemination/src/dissemination_proof.cpp
+++ b/proofs/dissemination/src/dissemination_proof.cpp
@@ -1,14 +1,14 @@
 // Stateful fuzzing of the control plane in simulated time: edits, kills, restarts, pauses, outages
 // of the store, partitions, and lost, duplicated and reordered messages. The oracle is in
-// ControlWorld. Two protections are also disabled, one at a time, and the oracle must report the
-// violation of exactly the rule that the protection ensures.
+// ControlSimulation. Two protections are also disabled, one at a time, and the oracle must report
+// the violation of exactly the rule that the protection ensures.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
 #include <ostream>
 #include <string>
 
-#include "control_world.h"
+#include "control_simulation.h"
 #include "gaugevalve/testing/proof.h"
 
 namespace gaugevalve::proofs {
@@ -45,20 +45,21 @@
   return stream << kNames[static_cast<std::size_t>(kind)];
 }
 
-// The oracle is part of the world; every step is allowed in every state. If `rule` is not empty,
-// only a violation whose text contains it fails the case.
+// The oracle is part of the simulation; every step is allowed in every state. If `rule` is not
+// empty, only a violation whose text contains it fails the case.
 struct Model {
   std::string rule;
 };
 
-void CheckWorld(const ControlWorld& world, const std::string& rule) {
-  const bool counts = world.Violation() && world.Violation()->find(rule) != std::string::npos;
+void CheckSimulation(const ControlSimulation& simulation, const std::string& rule) {
+  const bool counts =
+      simulation.Violation() && simulation.Violation()->find(rule) != std::string::npos;
   if (counts) {
-    RC_FAIL(*world.Violation());
+    RC_FAIL(*simulation.Violation());
   }
 }
 
-using ControlCommand = rc::state::Command<Model, ControlWorld>;
+using ControlCommand = rc::state::Command<Model, ControlSimulation>;
 
 // One fault or other step, followed by a short simulated time.
 class Perform final : public ControlCommand {
@@ -76,12 +77,12 @@
                                                    {3, StepKind::kHealNetwork},
                                                    {2, StepKind::kMessageFaults},
                                                    {4, StepKind::kRun}})),
-        node_(*rc::gen::inRange<std::size_t>(0, ControlWorld::kNodes)),
+        node_(*rc::gen::inRange<std::size_t>(0, ControlSimulation::kNodes)),
         number_(*rc::gen::inRange<std::uint32_t>(1, kNumbers)) {}
 
-  void run(const Model& model, ControlWorld& world) const override {  // NOLINT
-    Do(world);
-    CheckWorld(world, model.rule);
+  void run(const Model& model, ControlSimulation& simulation) const override {  // NOLINT
+    Do(simulation);
+    CheckSimulation(simulation, model.rule);
   }
 
   void show(std::ostream& stream) const override {  // NOLINT
@@ -91,44 +92,44 @@
  private:
   static constexpr std::uint32_t kNumbers = 40;
 
-  void Do(ControlWorld& world) const {
+  void Do(ControlSimulation& simulation) const {
     switch (kind_) {
       case StepKind::kEdit:
-        world.Edit(node_, number_);
+        simulation.Edit(node_, number_);
         break;
       case StepKind::kKill:
-        world.Kill(node_);
+        simulation.Kill(node_);
         break;
       case StepKind::kRestart:
-        world.Restart(node_);
+        simulation.Restart(node_);
         break;
       case StepKind::kFreeze:
-        world.Freeze(node_);
+        simulation.Freeze(node_);
         break;
       case StepKind::kThaw:
-        world.Thaw(node_);
+        simulation.Thaw(node_);
         break;
       case StepKind::kStoreUnavailable:
       case StepKind::kStoreAvailable:
-        world.SetStoreAvailable(kind_ == StepKind::kStoreAvailable);
+        simulation.SetStoreAvailable(kind_ == StepKind::kStoreAvailable);
         break;
       case StepKind::kSplitRegions:
-        world.SplitRegions();
+        simulation.SplitRegions();
         break;
       case StepKind::kIsolateNode:
-        world.IsolateNode(node_);
+        simulation.IsolateNode(node_);
         break;
       case StepKind::kHealNetwork:
-        world.HealNetwork();
+        simulation.HealNetwork();
         break;
       case StepKind::kMessageFaults:
-        world.SetMessageFaults(number_ * 0.01);
+        simulation.SetMessageFaults(number_ * 0.01);
         break;
       case StepKind::kRun:
-        world.Run(number_ * std::chrono::milliseconds(500));
+        simulation.Run(number_ * std::chrono::milliseconds(500));
         break;
     }
-    world.Run(number_ * std::chrono::milliseconds(20));
+    simulation.Run(number_ * std::chrono::milliseconds(20));
   }
 
   StepKind kind_;
@@ -148,13 +149,13 @@
   return totals;
 }
 
-Totals RunCase(ControlWorldSettings settings, const std::string& rule) {
+Totals RunCase(ControlSimulationSettings settings, const std::string& rule) {
   settings.seed = *rc::gen::arbitrary<std::uint64_t>();
-  ControlWorld world(settings);
-  rc::state::check(Model{rule}, world, rc::state::gen::execOneOfWithArgs<Perform>());
-  world.HealAndSettle();
-  CheckWorld(world, rule);
-  return {world.Commits(), world.Activations()};
+  ControlSimulation simulation(settings);
+  rc::state::check(Model{rule}, simulation, rc::state::gen::execOneOfWithArgs<Perform>());
+  simulation.HealAndSettle();
+  CheckSimulation(simulation, rule);
+  return {simulation.Commits(), simulation.Activations()};
 }
 
 void RevisionsAreAtomicMonotonicAndConverge() {
@@ -171,14 +172,14 @@
   RC_ASSERT(TotalsOfAllCases().activations > kMinimumActivations);
 }
 
-ControlWorldSettings AcceptingOlderRecords() {
-  ControlWorldSettings settings;
+ControlSimulationSettings AcceptingOlderRecords() {
+  ControlSimulationSettings settings;
   settings.accept_older_records = true;
   return settings;
 }
 
-ControlWorldSettings ActivatingPartially() {
-  ControlWorldSettings settings;
+ControlSimulationSettings ActivatingPartially() {
+  ControlSimulationSettings settings;
   settings.activate_partially = true;
   return settings;
 }
--- a/proofs/lease/src/lease_proof.cpp
+++ b/proofs/lease/src/lease_proof.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "gaugevalve/testing/proof.h"
-#include "lease_world.h"
+#include "lease_simulation.h"
 
 namespace gaugevalve::proofs {
 namespace {
@@ -41,12 +41,12 @@
   return stream << kNames[static_cast<std::size_t>(kind)];
 }
 
-// The oracle is in LeaseWorld, so the model only tells which commands are allowed.
+// The oracle is in LeaseSimulation, so the model only tells which commands are allowed.
 struct Model {
   bool early_expiry = false;
 };
 
-using LeaseCommand = rc::state::Command<Model, LeaseWorld>;
+using LeaseCommand = rc::state::Command<Model, LeaseSimulation>;
 
 // One step of the adversary, of any kind.
 class Perform final : public LeaseCommand {
@@ -66,7 +66,7 @@
                                                    {1, StepKind::kResign},
                                                    {2, StepKind::kCampaign},
                                                    {1, StepKind::kExpireEarly}})),
-        holder_(*rc::gen::inRange<std::size_t>(0, LeaseWorld::kHolders)),
+        holder_(*rc::gen::inRange<std::size_t>(0, LeaseSimulation::kHolders)),
         number_(*rc::gen::inRange(0, kNumbers)),
         delivery_(*rc::gen::weightedElement<Delivery>({{12, Delivery::kAnswered},
                                                        {1, Delivery::kRefused},
@@ -79,10 +79,10 @@
     RC_PRE(model.early_expiry || kind_ != StepKind::kExpireEarly);
   }
 
-  void run(const Model& /*model*/, LeaseWorld& world) const override {  // NOLINT
-    Do(world);
-    if (world.Violation()) {
-      RC_FAIL(*world.Violation());
+  void run(const Model& /*model*/, LeaseSimulation& simulation) const override {  // NOLINT
+    Do(simulation);
+    if (simulation.Violation()) {
+      RC_FAIL(*simulation.Violation());
     }
   }
 
@@ -94,34 +94,34 @@
  private:
   static constexpr int kNumbers = 100;
 
-  void Do(LeaseWorld& world) const {
+  void Do(LeaseSimulation& simulation) const {
     switch (kind_) {
       case StepKind::kAdvanceTime:
-        return world.AdvanceTime(number_ * std::chrono::milliseconds(25));
+        return simulation.AdvanceTime(number_ * std::chrono::milliseconds(25));
       case StepKind::kRunAlone:
-        return world.RunAlone(holder_, number_ * std::chrono::milliseconds(100), delivery_);
+        return simulation.RunAlone(holder_, number_ * std::chrono::milliseconds(100), delivery_);
       case StepKind::kStep:
-        return world.Step(holder_);
+        return simulation.Step(holder_);
       case StepKind::kDeliver:
-        return world.Deliver(holder_, delivery_);
+        return simulation.Deliver(holder_, delivery_);
       case StepKind::kApplyLate:
-        return world.ApplyLateRequest();
+        return simulation.ApplyLateRequest();
       case StepKind::kPause:
       case StepKind::kResume:
-        return world.SetPaused(holder_, kind_ == StepKind::kPause);
+        return simulation.SetPaused(holder_, kind_ == StepKind::kPause);
       case StepKind::kOutageBegins:
       case StepKind::kOutageEnds:
-        return world.SetOutage(kind_ == StepKind::kOutageBegins);
+        return simulation.SetOutage(kind_ == StepKind::kOutageBegins);
       case StepKind::kDecide:
-        return world.Decide(holder_);
+        return simulation.Decide(holder_);
       case StepKind::kDeliverAction:
-        return world.DeliverAction(static_cast<std::size_t>(number_));
+        return simulation.DeliverAction(static_cast<std::size_t>(number_));
       case StepKind::kResign:
-        return world.Resign(holder_);
+        return simulation.Resign(holder_);
       case StepKind::kCampaign:
-        return world.Campaign(holder_);
+        return simulation.Campaign(holder_);
       case StepKind::kExpireEarly:
-        return world.ExpireLeasesEarly();
+        return simulation.ExpireLeasesEarly();
     }
   }
 
@@ -138,19 +138,19 @@
   std::size_t actions_refused = 0;
 };
 
-void Explore(const LeaseWorldSettings& settings, Totals& totals) {
-  LeaseWorld world(settings);
+void Explore(const LeaseSimulationSettings& settings, Totals& totals) {
+  LeaseSimulation simulation(settings);
   Model model;
   model.early_expiry = settings.early_expiry;
-  rc::state::check(model, world, rc::state::gen::execOneOfWithArgs<Perform>());
-  world.Heal();
-  totals.acquisitions += world.Acquisitions();
-  totals.actions_accepted += world.ActionsAccepted();
-  totals.actions_refused += world.ActionsRefused();
-  if (world.Violation()) {
-    RC_FAIL(*world.Violation());
+  rc::state::check(model, simulation, rc::state::gen::execOneOfWithArgs<Perform>());
+  simulation.Heal();
+  totals.acquisitions += simulation.Acquisitions();
+  totals.actions_accepted += simulation.ActionsAccepted();
+  totals.actions_refused += simulation.ActionsRefused();
+  if (simulation.Violation()) {
+    RC_FAIL(*simulation.Violation());
   }
-  RC_ASSERT(world.CountBelievingHolders() == 1U);
+  RC_ASSERT(simulation.CountBelievingHolders() == 1U);
 }
 
 testing::Coverage CoverageOf(const Totals& totals) {
@@ -163,7 +163,7 @@
           counts.str()};
 }
 
-testing::RegisteredProof Holds(std::string name, const LeaseWorldSettings& settings) {
+testing::RegisteredProof Holds(std::string name, const LeaseSimulationSettings& settings) {
   const auto totals = std::make_shared<Totals>();
   return {std::move(name),
           testing::ProofKind::kHolds,
@@ -171,7 +171,7 @@
           {.counter_example = "", .coverage = [totals] { return CoverageOf(*totals); }}};
 }
 
-testing::RegisteredProof IsCaught(std::string name, const LeaseWorldSettings& settings,
+testing::RegisteredProof IsCaught(std::string name, const LeaseSimulationSettings& settings,
                                   std::string counter_example) {
   return {std::move(name),
           testing::ProofKind::kMutantIsCaught,
@@ -183,7 +183,7 @@
 }
 
 const testing::RegisteredProof one_holder =
-    Holds("one_holder_at_a_time_and_no_older_action", LeaseWorldSettings{});
+    Holds("one_holder_at_a_time_and_no_older_action", LeaseSimulationSettings{});
 const testing::RegisteredProof early_expiry =
     Holds("no_older_action_even_when_leases_end_early", {.early_expiry = true});
 const testing::RegisteredProof without_allowance =
--- a/proofs/lease/src/lease_world.cpp
+++ b/proofs/lease/src/lease_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lease_world.h"
+#include "lease_simulation.h"
 
 #include <algorithm>
 #include <array>
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr const char* kKey = "coordinator";
-constexpr std::array<double, LeaseWorld::kHolders> kDriftSigns{-1, 1, -1};
+constexpr std::array<double, LeaseSimulation::kHolders> kDriftSigns{-1, 1, -1};
 
-lease::LeaseSettings HolderSettings(const LeaseWorldSettings& world, std::size_t index) {
+lease::LeaseSettings HolderSettings(const LeaseSimulationSettings& simulation, std::size_t index) {
   lease::LeaseSettings settings;
   settings.key = kKey;
   settings.holder = "holder" + std::to_string(index);
@@ -19,13 +19,13 @@
   settings.renew_interval = std::chrono::seconds(3);
   settings.request_timeout = std::chrono::seconds(2);
   settings.safety_margin = base::Duration::zero();  // the invariants must hold without it
-  settings.clock_drift = world.assumed_drift;
+  settings.clock_drift = simulation.assumed_drift;
   return settings;
 }
 
 }  // namespace
 
-LeaseWorld::LeaseWorld(const LeaseWorldSettings& settings) : settings_(settings) {
+LeaseSimulation::LeaseSimulation(const LeaseSimulationSettings& settings) : settings_(settings) {
   for (std::size_t index = 0; index < kHolders; ++index) {
     holders_.push_back({lease::LeaseHolder(HolderSettings(settings, index), index + 1),
                         1 + kDriftSigns.at(index) * settings.true_drift,
@@ -41,13 +41,13 @@
   }
 }
 
-void LeaseWorld::AdvanceTime(base::Duration step) {
+void LeaseSimulation::AdvanceTime(base::Duration step) {
   now_ += step;
   store_.ExpireLeases(now_);
   CheckMutualExclusion();
 }
 
-void LeaseWorld::RunAlone(std::size_t holder, base::Duration span, Delivery last) {
+void LeaseSimulation::RunAlone(std::size_t holder, base::Duration span, Delivery last) {
   constexpr base::Duration kStep = std::chrono::milliseconds(200);
   // Longer than a renewal interval.
   constexpr base::Duration kLongestWait = std::chrono::seconds(4);
@@ -64,7 +64,7 @@
   Deliver(holder, last);
 }
 
-void LeaseWorld::Step(std::size_t holder) {
+void LeaseSimulation::Step(std::size_t holder) {
   Holder& chosen = holders_[holder];
   if (!chosen.paused) {
     chosen.core.Tick(LocalTime(chosen));
@@ -72,7 +72,7 @@
   }
 }
 
-void LeaseWorld::Deliver(std::size_t holder, Delivery delivery) {
+void LeaseSimulation::Deliver(std::size_t holder, Delivery delivery) {
   Holder& chosen = holders_[holder];
   if (chosen.paused) {
     return;
@@ -96,7 +96,7 @@
   }
 }
 
-void LeaseWorld::ApplyLateRequest() {
+void LeaseSimulation::ApplyLateRequest() {
   if (!late_requests_.empty() && !outage_) {
     Apply(late_requests_.front());
     late_requests_.pop_front();
@@ -104,7 +104,7 @@
   }
 }
 
-void LeaseWorld::Decide(std::size_t holder) {
+void LeaseSimulation::Decide(std::size_t holder) {
   const Holder& chosen = holders_[holder];
   const lease::LeaseView belief = CurrentView(chosen);
   if (!chosen.paused && belief.status == lease::LeaseStatus::kHeld) {
@@ -112,7 +112,7 @@
   }
 }
 
-void LeaseWorld::DeliverAction(std::size_t position) {
+void LeaseSimulation::DeliverAction(std::size_t position) {
   if (actions_.empty()) {
     return;
   }
@@ -127,25 +127,25 @@
   }
 }
 
-void LeaseWorld::Campaign(std::size_t holder) {
+void LeaseSimulation::Campaign(std::size_t holder) {
   holders_[holder].core.Campaign(LocalTime(holders_[holder]));
   CollectRequests(holders_[holder]);
 }
 
-void LeaseWorld::Resign(std::size_t holder) {
+void LeaseSimulation::Resign(std::size_t holder) {
   if (!holders_[holder].paused) {
     holders_[holder].core.Resign(LocalTime(holders_[holder]));
     CollectRequests(holders_[holder]);
   }
 }
 
-void LeaseWorld::ExpireLeasesEarly() {
+void LeaseSimulation::ExpireLeasesEarly() {
   for (const store::LeaseId lease : store_.Leases()) {
     store_.ExpireLease(lease);
   }
 }
 
-void LeaseWorld::Heal() {
+void LeaseSimulation::Heal() {
   constexpr int kSteps = 120;
   constexpr base::Duration kStep = std::chrono::milliseconds(500);
   outage_ = false;
@@ -161,23 +161,23 @@
   }
 }
 
-std::size_t LeaseWorld::CountBelievingHolders() const {
+std::size_t LeaseSimulation::CountBelievingHolders() const {
   return static_cast<std::size_t>(std::ranges::count_if(holders_, [this](const Holder& holder) {
     return CurrentView(holder).status == lease::LeaseStatus::kHeld;
   }));
 }
 
-base::TimePoint LeaseWorld::LocalTime(const Holder& holder) const {
+base::TimePoint LeaseSimulation::LocalTime(const Holder& holder) const {
   const std::chrono::duration<double, std::micro> elapsed = now_.time_since_epoch();
   return base::TimePoint{} + holder.clock_offset +
          std::chrono::duration_cast<base::Duration>(elapsed * holder.clock_rate);
 }
 
-lease::LeaseView LeaseWorld::CurrentView(const Holder& holder) const {
+lease::LeaseView LeaseSimulation::CurrentView(const Holder& holder) const {
   return settings_.check_clock ? holder.core.View(LocalTime(holder)) : holder.last_view;
 }
 
-store::Result LeaseWorld::Apply(const store::Request& request) {
+store::Result LeaseSimulation::Apply(const store::Request& request) {
   try {
     return store::Result::Ok(store_.Apply(request, now_));
   } catch (const standins::StoreError& error) {
@@ -185,7 +185,7 @@
   }
 }
 
-store::Result LeaseWorld::ResultOf(const store::Request& request, Delivery delivery) {
+store::Result LeaseSimulation::ResultOf(const store::Request& request, Delivery delivery) {
   const store::Outcome unknown =
       store::ChangesStore(request) ? store::Outcome::kUnknown : store::Outcome::kRefused;
   switch (delivery) {
@@ -206,12 +206,12 @@
   return store::Result::Failed(unknown, store::Reason::kConnectionLost, "");
 }
 
-void LeaseWorld::HandleAnswer(Holder& holder, const Answer& answer) {
+void LeaseSimulation::HandleAnswer(Holder& holder, const Answer& answer) {
   holder.core.OnResult(answer.tag, answer.result, LocalTime(holder));
   CollectRequests(holder);
 }
 
-void LeaseWorld::CollectRequests(Holder& holder) {
+void LeaseSimulation::CollectRequests(Holder& holder) {
   for (lease::LeaseRequest& request : holder.core.TakeRequests()) {
     holder.requests.push_back(std::move(request));
   }
@@ -224,7 +224,7 @@
   CheckMutualExclusion();
 }
 
-void LeaseWorld::CheckMutualExclusion() {
+void LeaseSimulation::CheckMutualExclusion() {
   if (settings_.early_expiry) {
     return;  // two holders are possible; only the gate keeps the order of actions
   }
@@ -240,7 +240,7 @@
   }
 }
 
-void LeaseWorld::CheckOrder(lease::FencingToken token) {
+void LeaseSimulation::CheckOrder(lease::FencingToken token) {
   if (token < newest_accepted_) {
     std::ostringstream words;
     words << "the resource took an action with token " << token << " after one with "
@@ -250,7 +250,7 @@
   newest_accepted_ = std::max(newest_accepted_, token);
 }
 
-void LeaseWorld::Fail(std::string words) {
+void LeaseSimulation::Fail(std::string words) {
   if (!violation_) {
     violation_ = std::move(words);
   }
--- a/proofs/lease/src/lease_world.h
+++ b/proofs/lease/src/lease_simulation.h
@@ -17,7 +17,7 @@
 
 // Parameters of the simulation, and the protections that can be disabled to check that the oracle
 // detects it.
-struct LeaseWorldSettings {
+struct LeaseSimulationSettings {
   double true_drift = 0.05;     // actual relative drift between the holders' clocks and the store's
   double assumed_drift = 0.05;  // drift in the holders' settings
   bool gate_enabled = true;     // false: the resource accepts every action
@@ -36,11 +36,11 @@
 };
 
 // Runs the real LeaseHolder cores. Each method is one step that the adversary may choose.
-class LeaseWorld {
+class LeaseSimulation {
  public:
   static constexpr std::size_t kHolders = 3;
 
-  explicit LeaseWorld(const LeaseWorldSettings& settings);
+  explicit LeaseSimulation(const LeaseSimulationSettings& settings);
 
   void AdvanceTime(base::Duration step);
   // Runs one holder without faults for a time, and then ends its next request with `last`. The
@@ -95,7 +95,7 @@
   void CheckOrder(lease::FencingToken token);
   void Fail(std::string words);
 
-  LeaseWorldSettings settings_;
+  LeaseSimulationSettings settings_;
   base::TimePoint now_{};  // store time
   standins::MvccStore store_;
   std::vector<Holder> holders_;
--- a/proofs/membership/src/membership_proof.cpp
+++ b/proofs/membership/src/membership_proof.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "gaugevalve/testing/proof.h"
-#include "membership_world.h"
+#include "membership_simulation.h"
 
 namespace gaugevalve::proofs {
 namespace {
@@ -47,10 +47,10 @@
   return stream << kNames[static_cast<std::size_t>(kind)];
 }
 
-// The oracle is part of the world; every step is allowed in every state.
+// The oracle is part of the simulation; every step is allowed in every state.
 struct Model {};
 
-using MembershipCommand = rc::state::Command<Model, MembershipWorld>;
+using MembershipCommand = rc::state::Command<Model, MembershipSimulation>;
 
 // One fault or other step, followed by some simulated time.
 class Perform final : public MembershipCommand {
@@ -68,19 +68,20 @@
                                                    {1, StepKind::kSplitRegions},
                                                    {3, StepKind::kEndPartitions},
                                                    {2, StepKind::kSetMessageFaults}})),
-        member_(*rc::gen::inRange<std::size_t>(0, MembershipWorld::kMembers)),
-        other_(*rc::gen::inRange<std::size_t>(0, MembershipWorld::kMembers)),
+        member_(*rc::gen::inRange<std::size_t>(0, MembershipSimulation::kMembers)),
+        other_(*rc::gen::inRange<std::size_t>(0, MembershipSimulation::kMembers)),
         number_(*rc::gen::inRange(1, kNumbers)) {}
 
-  void run(const Model& /*model*/, MembershipWorld& world) const override {  // NOLINT
-    if (world.Violation()) {
+  void run(const Model& /*model*/, MembershipSimulation& simulation) const override {  // NOLINT
+    if (simulation.Violation()) {
       return;  // reported at the end of the case
     }
-    Do(world);
+    Do(simulation);
     // Short after most steps, so that faults overlap; long after kRun steps, so that members can be
     // declared dead.
     const bool is_long = kind_ == StepKind::kRun;
-    world.Run(number_ * (is_long ? std::chrono::milliseconds(100) : std::chrono::milliseconds(5)));
+    simulation.Run(number_ *
+                   (is_long ? std::chrono::milliseconds(100) : std::chrono::milliseconds(5)));
   }
 
   void show(std::ostream& stream) const override {  // NOLINT: name required by rapidcheck
@@ -91,32 +92,32 @@
   static constexpr int kNumbers = 100;
   static constexpr double kMaximumFaultProbability = 0.3;
 
-  void Do(MembershipWorld& world) const {
+  void Do(MembershipSimulation& simulation) const {
     switch (kind_) {
       case StepKind::kRun:
         return;
       case StepKind::kKill:
-        return world.Kill(member_);
+        return simulation.Kill(member_);
       case StepKind::kRestart:
-        return world.Restart(member_);
+        return simulation.Restart(member_);
       case StepKind::kFreeze:
-        return world.Freeze(member_);
+        return simulation.Freeze(member_);
       case StepKind::kThaw:
-        return world.Thaw(member_);
+        return simulation.Thaw(member_);
       case StepKind::kLeave:
-        return world.Leave(member_);
+        return simulation.Leave(member_);
       case StepKind::kToggleLeavingFlag:
-        return world.ToggleLeavingFlag(member_);
+        return simulation.ToggleLeavingFlag(member_);
       case StepKind::kIsolate:
-        return world.Isolate(member_);
+        return simulation.Isolate(member_);
       case StepKind::kBlockOneWay:
-        return world.BlockOneWay(member_, other_);
+        return simulation.BlockOneWay(member_, other_);
       case StepKind::kSplitRegions:
-        return world.SplitRegions();
+        return simulation.SplitRegions();
       case StepKind::kEndPartitions:
-        return world.EndPartitions();
+        return simulation.EndPartitions();
       case StepKind::kSetMessageFaults:
-        return world.SetMessageFaults(kMaximumFaultProbability * number_ / kNumbers);
+        return simulation.SetMessageFaults(kMaximumFaultProbability * number_ / kNumbers);
     }
   }
 
@@ -129,16 +130,16 @@
 // Runs one generated case and returns the first violation.
 std::optional<std::string> RunCase(const membership::InjectedFaults& faults,
                                    MembershipTotals& totals) {
-  MembershipWorld world(*rc::gen::arbitrary<std::uint64_t>(), faults);
-  rc::state::check(Model{}, world, rc::state::gen::execOneOfWithArgs<Perform>());
-  if (!world.Violation()) {
-    world.Heal();
+  MembershipSimulation simulation(*rc::gen::arbitrary<std::uint64_t>(), faults);
+  rc::state::check(Model{}, simulation, rc::state::gen::execOneOfWithArgs<Perform>());
+  if (!simulation.Violation()) {
+    simulation.Heal();
   }
-  totals.deaths_reported += world.Totals().deaths_reported;
-  totals.recoveries += world.Totals().recoveries;
-  totals.restarts += world.Totals().restarts;
-  totals.self_death_reports += world.Totals().self_death_reports;
-  return world.Violation();
+  totals.deaths_reported += simulation.Totals().deaths_reported;
+  totals.recoveries += simulation.Totals().recoveries;
+  totals.restarts += simulation.Totals().restarts;
+  totals.self_death_reports += simulation.Totals().self_death_reports;
+  return simulation.Violation();
 }
 
 // Fails if too few of the events that the proof is about occurred.
--- a/proofs/membership/src/membership_world.cpp
+++ b/proofs/membership/src/membership_simulation.cpp
@@ -1,4 +1,4 @@
-#include "membership_world.h"
+#include "membership_simulation.h"
 
 #include <algorithm>
 #include <sstream>
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-MembershipWorld::MembershipWorld(std::uint64_t seed, const membership::InjectedFaults& faults)
+MembershipSimulation::MembershipSimulation(std::uint64_t seed,
+                                           const membership::InjectedFaults& faults)
     : simulator_(seed, MakeNetwork()) {
   membership_simulation::HollowGroupSettings settings;
   settings.members = kMembers;
@@ -42,7 +43,7 @@
   UpdateIssuedIncarnations();
 }
 
-void MembershipWorld::Run(base::Duration duration) {
+void MembershipSimulation::Run(base::Duration duration) {
   const base::TimePoint end = simulator_.Now() + duration;
   while (simulator_.Now() < end) {
     simulator_.RunFor(std::min<base::Duration>(kCheckInterval, end - simulator_.Now()));
@@ -52,24 +53,24 @@
   }
 }
 
-void MembershipWorld::Kill(std::size_t member) { group_->Kill(member); }
+void MembershipSimulation::Kill(std::size_t member) { group_->Kill(member); }
 
-void MembershipWorld::Restart(std::size_t member) {
+void MembershipSimulation::Restart(std::size_t member) {
   ++totals_.restarts;
   group_->Restart(member);
 }
 
-void MembershipWorld::Freeze(std::size_t member) { simulator_.Freeze(group_->Index(member)); }
+void MembershipSimulation::Freeze(std::size_t member) { simulator_.Freeze(group_->Index(member)); }
 
-void MembershipWorld::Thaw(std::size_t member) { simulator_.Thaw(group_->Index(member)); }
+void MembershipSimulation::Thaw(std::size_t member) { simulator_.Thaw(group_->Index(member)); }
 
-void MembershipWorld::Leave(std::size_t member) {
+void MembershipSimulation::Leave(std::size_t member) {
   if (IsRunning(member)) {
     group_->Leave(member);
   }
 }
 
-void MembershipWorld::ToggleLeavingFlag(std::size_t member) {
+void MembershipSimulation::ToggleLeavingFlag(std::size_t member) {
   if (!IsRunning(member)) {
     return;
   }
@@ -79,24 +80,24 @@
   runner.UpdateMetadata(metadata);
 }
 
-void MembershipWorld::Isolate(std::size_t member) {
+void MembershipSimulation::Isolate(std::size_t member) {
   simulator_.Network().IsolateNode(group_->Index(member));
 }
 
-void MembershipWorld::BlockOneWay(std::size_t from, std::size_t to) {
+void MembershipSimulation::BlockOneWay(std::size_t from, std::size_t to) {
   simulator_.Network().BlockNodes(group_->Index(from), group_->Index(to));
 }
 
-void MembershipWorld::SplitRegions() { simulator_.Network().BlockRegions("north", "south"); }
+void MembershipSimulation::SplitRegions() { simulator_.Network().BlockRegions("north", "south"); }
 
-void MembershipWorld::EndPartitions() { simulator_.Network().HealPartitions(); }
+void MembershipSimulation::EndPartitions() { simulator_.Network().HealPartitions(); }
 
-void MembershipWorld::SetMessageFaults(double probability) {
+void MembershipSimulation::SetMessageFaults(double probability) {
   simulator_.Network().SetFaults(
       {.loss = probability, .duplication = probability, .reordering = probability});
 }
 
-void MembershipWorld::Heal() {
+void MembershipSimulation::Heal() {
   EndPartitions();
   SetMessageFaults(0);
   for (std::size_t member = 0; member < kMembers; ++member) {
@@ -116,9 +117,9 @@
   }
 }
 
-bool MembershipWorld::IsRunning(std::size_t member) const { return group_->IsRunning(member); }
+bool MembershipSimulation::IsRunning(std::size_t member) const { return group_->IsRunning(member); }
 
-void MembershipWorld::OnEvent(const membership::MembershipEvent& event) {
+void MembershipSimulation::OnEvent(const membership::MembershipEvent& event) {
   switch (event.kind) {
     case membership::EventKind::kFailed:
       ++totals_.deaths_reported;
@@ -134,7 +135,7 @@
   }
 }
 
-void MembershipWorld::UpdateIssuedIncarnations() {
+void MembershipSimulation::UpdateIssuedIncarnations() {
   for (std::size_t member = 0; member < kMembers; ++member) {
     if (simulator_.State(group_->Index(member)) == simulation::NodeState::kDead) {
       continue;
@@ -144,7 +145,7 @@
   }
 }
 
-void MembershipWorld::CheckViews() {
+void MembershipSimulation::CheckViews() {
   for (std::size_t observer = 0; observer < kMembers; ++observer) {
     if (IsRunning(observer)) {
       group_->Life(observer).Core().ForEach(
@@ -153,7 +154,7 @@
   }
 }
 
-void MembershipWorld::CheckByteBudget() {
+void MembershipSimulation::CheckByteBudget() {
   for (std::size_t member = 0; member < kMembers; ++member) {
     if (!IsRunning(member)) {
       continue;
@@ -176,7 +177,7 @@
   }
 }
 
-void MembershipWorld::CheckMember(std::size_t observer, const membership::Member& seen) {
+void MembershipSimulation::CheckMember(std::size_t observer, const membership::Member& seen) {
   const base::Incarnation observer_life = group_->Life(observer).Core().Self().metadata->life;
   const ObservedState now{seen.incarnation, seen.state, seen.metadata->life};
   const auto [place, is_new] = observed_.try_emplace({observer, observer_life, seen.node}, now);
@@ -193,8 +194,8 @@
   }
 }
 
-void MembershipWorld::ReportViolation(const std::string& rule, std::size_t observer,
-                                      const membership::Member& seen) {
+void MembershipSimulation::ReportViolation(const std::string& rule, std::size_t observer,
+                                           const membership::Member& seen) {
   if (violation_) {
     return;
   }
--- a/proofs/membership/src/membership_world.h
+++ b/proofs/membership/src/membership_simulation.h
@@ -30,12 +30,12 @@
 // - it is never newer than what the member has announced;
 // - a joined member stays within its byte budget in every second.
 // After Heal() every view must become correct within kConvergenceLimit.
-class MembershipWorld {
+class MembershipSimulation {
  public:
   static constexpr std::size_t kMembers = 7;
   static constexpr std::size_t kSeeds = 3;  // the first member of each zone
 
-  MembershipWorld(std::uint64_t seed, const membership::InjectedFaults& faults);
+  MembershipSimulation(std::uint64_t seed, const membership::InjectedFaults& faults);
 
   // Advances the simulation and checks all rules every kCheckInterval.
   void Run(base::Duration duration);
--- a/proofs/settings_edits/editing_run.h
+++ b/proofs/settings_edits/editing_run.h
@@ -1,4 +1,4 @@
-// The world of one run: a store that can be away, operators, and a network that loses and delays.
+// Simulates one run: a store that can be away, operators, and a network that loses and delays.
 #pragma once
 
 #include <array>
