--- a/proofs/dissemination/src/control_simulation.cpp
+++ b/proofs/dissemination/src/control_simulation.cpp
@@ -170,7 +170,7 @@
 void ControlSimulation::CheckSettings(std::size_t node, const control::ActiveSettings& active,
                                       ObservedState& seen) {
   if (active.revision < seen.revision) {
-    ReportViolation(node, "the active revision went back");
+    RecordViolation(node, "the active revision went back");
   }
   activations_ += active.revision > seen.revision ? 1 : 0;
   seen.revision = active.revision;
@@ -179,9 +179,9 @@
   }
   const auto committed = nodes_.Store().Committed().find(active.revision);
   if (committed == nodes_.Store().Committed().end()) {
-    ReportViolation(node, "the active revision was never committed");
+    RecordViolation(node, "the active revision was never committed");
   } else if (committed->second != *active.settings) {
-    ReportViolation(node, "the active settings are a mix of revisions");
+    RecordViolation(node, "the active settings are a mix of revisions");
   }
 }
 
@@ -193,13 +193,13 @@
       continue;
     }
     if (table->version < seen.tables[id]) {
-      ReportViolation(node, "the version of a table went back");
+      RecordViolation(node, "the version of a table went back");
     }
     seen.tables[id] = table->version;
   }
 }
 
-void ControlSimulation::ReportViolation(std::size_t node, const std::string& rule) {
+void ControlSimulation::RecordViolation(std::size_t node, const std::string& rule) {
   if (!violation_) {
     violation_ = "node " + std::to_string(node) + ": " + rule;
   }
--- a/proofs/dissemination/src/control_simulation.h
+++ b/proofs/dissemination/src/control_simulation.h
@@ -71,7 +71,7 @@
   void CheckSettings(std::size_t node, const control::ActiveSettings& active, ObservedState& seen);
   void CheckTables(std::size_t node, ObservedState& seen);
   bool HasSettled();
-  void ReportViolation(std::size_t node, const std::string& rule);
+  void RecordViolation(std::size_t node, const std::string& rule);
 
   simulation::Simulator simulator_;
   control_simulation::HollowDeployment nodes_;
--- a/proofs/membership/src/membership_simulation.cpp
+++ b/proofs/membership/src/membership_simulation.cpp
@@ -172,7 +172,7 @@
       sent.pop_front();
     }
     if (bytes - sent.front().second > kBytesPerSecond + kAcknowledgementBytes) {
-      ReportViolation("sent more bytes in one second than the budget", member, self);
+      RecordViolation("sent more bytes in one second than the budget", member, self);
     }
   }
 }
@@ -184,17 +184,17 @@
   const ObservedState before = std::exchange(place->second, now);
   if (!is_new &&
       std::tie(now.incarnation, now.state) < std::tie(before.incarnation, before.state)) {
-    ReportViolation("a view went back to an older record", observer, seen);
+    RecordViolation("a view went back to an older record", observer, seen);
   }
   if (!is_new && now.life < before.life) {
-    ReportViolation("a view went back to an older process", observer, seen);
+    RecordViolation("a view went back to an older process", observer, seen);
   }
   if (now.incarnation > issued_[seen.node]) {
-    ReportViolation("a view has an incarnation that the member never announced", observer, seen);
+    RecordViolation("a view has an incarnation that the member never announced", observer, seen);
   }
 }
 
-void MembershipSimulation::ReportViolation(const std::string& rule, std::size_t observer,
+void MembershipSimulation::RecordViolation(const std::string& rule, std::size_t observer,
                                            const membership::Member& seen) {
   if (violation_) {
     return;
--- a/proofs/membership/src/membership_simulation.h
+++ b/proofs/membership/src/membership_simulation.h
@@ -78,7 +78,7 @@
   void CheckViews();
   void CheckByteBudget();
   void CheckMember(std::size_t observer, const membership::Member& seen);
-  void ReportViolation(const std::string& rule, std::size_t observer,
+  void RecordViolation(const std::string& rule, std::size_t observer,
                        const membership::Member& seen);
 
   simulation::Simulator simulator_;
--- a/proofs/placement/src/placement_simulation.cpp
+++ b/proofs/placement/src/placement_simulation.cpp
@@ -456,7 +456,7 @@
     return;
   }
   if (OwnerOf(flow) != nullptr) {
-    ReportViolation("an open flow was reset");
+    RecordViolation("an open flow was reset");
   }
   flow.is_reset = true;
   ++resets_;
@@ -465,11 +465,11 @@
 void PlacementSimulation::CheckOpening(const Agent& agent, const FlowPacket& packet) {
   const std::size_t service = packet.flow.destination == VirtualAddress(0) ? 0 : 1;
   if (agent.endpoint.service != kServices[service]) {
-    ReportViolation("an opening packet reached another service");
+    RecordViolation("an opening packet reached another service");
   }
   const auto& left_at = agent.endpoint.left_at;
   if (left_at && now_ - *left_at > kDrainLimit) {
-    ReportViolation("an endpoint that had left got an opening packet");
+    RecordViolation("an endpoint that had left got an opening packet");
   }
 }
 
@@ -490,13 +490,13 @@
         Deliver(0);
       }
       if (owner->endpoint.arrived == before) {
-        ReportViolation("an open flow's packet never reached its endpoint");
+        RecordViolation("an open flow's packet never reached its endpoint");
       }
     }
   }
 }
 
-void PlacementSimulation::ReportViolation(const std::string& text) {
+void PlacementSimulation::RecordViolation(const std::string& text) {
   if (!violation_) {
     violation_ = text;
   }
--- a/proofs/placement/src/placement_simulation.h
+++ b/proofs/placement/src/placement_simulation.h
@@ -118,7 +118,7 @@
   void CheckOpening(const Agent& agent, const placement::FlowPacket& packet);
   Agent* OwnerOf(const Flow& flow);
   Flow& FlowOf(const placement::FlowPacket& packet);
-  void ReportViolation(const std::string& text);
+  void RecordViolation(const std::string& text);
 
   PlacementSimulationSettings settings_;
   base::RandomSource random_{1};
