--- a/daemons/common/src/control_task.cpp
+++ b/daemons/common/src/control_task.cpp
@@ -49,7 +49,7 @@
   metadata.data_address = task.data_address;
   metadata.versions = identity.versions;
   metadata.settings_schema = settings::kSchemaVersion;
-  metadata.life = task.incarnation;
+  metadata.process_incarnation = task.incarnation;
   if (node.agent.has_value()) {
     metadata.role = membership::Role::kAgent;
     metadata.service = base::MakeServiceId(node.agent->service);
--- a/examples/membership/src/membership_example.cpp
+++ b/examples/membership/src/membership_example.cpp
@@ -39,20 +39,22 @@
 
   void OnStart(simulation::NodeContext& context) override {
     context_ = &context;
-    // 1. Who this node is. `life` comes from the wall clock, so that a restart is a newer life.
+    // 1. Who this node is. `process_incarnation` comes from the wall clock, so that it grows with
+    // each restart.
     membership::MemberMetadata metadata;
     metadata.role = membership::Role::kAgent;
     metadata.region = "coast";
     metadata.zone = "zone-" + std::to_string(number_ % kZones);
     metadata.control_address = context.Address();
-    metadata.life = base::Incarnation(1'780'000'000'000'000);
+    metadata.process_incarnation = base::Incarnation(1'780'000'000'000'000);
     // 2. Whom it can join by.
     membership::MembershipOptions options;
     options.seeds = {ControlAddress(0), ControlAddress(1)};
     // 3. The core, a transport, and the runner between them.
     const base::NodeId node = base::MakeNodeId(NodeName(number_));
     transport_ = std::make_unique<simulation::SimulatedTransport>(
-        context, transport::SenderIdentity{node, metadata.life, context.Address(), {}});
+        context,
+        transport::SenderIdentity{node, metadata.process_incarnation, context.Address(), {}});
     core_ = std::make_unique<membership::Membership>(node, metadata, options, kSeed + number_);
     runner_ = std::make_unique<membership::MembershipRunner>(
         *core_, *transport_, context,
--- a/libs/control/include/gaugevalve/control_simulation/hollow_deployment.h
+++ b/libs/control/include/gaugevalve/control_simulation/hollow_deployment.h
@@ -39,7 +39,7 @@
 
   bool IsRunning(std::size_t node) const;
   // Returns the running incarnation of a node, which must not be dead.
-  const HollowNode& Life(std::size_t node) const;
+  const HollowNode& Process(std::size_t node) const;
 
   void Kill(std::size_t node);
   // Starts a new incarnation that knows only the seeds.
@@ -70,7 +70,7 @@
 
   control::ControlNodeOptions MakeOptions(std::size_t node) const;
   settings::SettingsTree MakeTree() const;
-  std::unique_ptr<HollowNode> MakeLife(std::size_t node, bool is_preloaded);
+  std::unique_ptr<HollowNode> MakeProcess(std::size_t node, bool is_preloaded);
   void Preload();
 
   simulation::Simulator& simulator_;
--- a/libs/control/src/control_node.cpp
+++ b/libs/control/src/control_node.cpp
@@ -156,7 +156,8 @@
     agents_stale_.insert(event.member.metadata->service);
   }
   if (event.kind == membership::EventKind::kLeft) {
-    planners_.NoteGracefulLeave(event.member.metadata->service, node, event.member.metadata->life);
+    planners_.NoteGracefulLeave(event.member.metadata->service, node,
+                                event.member.metadata->process_incarnation);
   } else if (event.kind == membership::EventKind::kFailed) {
     planners_.RecordFailure(event.member, now);
   }
--- a/libs/control/src/coordinator.cpp
+++ b/libs/control/src/coordinator.cpp
@@ -120,7 +120,7 @@
       return;
     }
     roster.members.push_back(
-        {best->node, directory.Find(best->node)->metadata->life, next_slot_++});
+        {best->node, directory.Find(best->node)->metadata->process_incarnation, next_slot_++});
     ++members_in_zone[best->zone];
     candidates.erase(best);
   }
--- a/libs/control/src/member_directory.cpp
+++ b/libs/control/src/member_directory.cpp
@@ -67,7 +67,7 @@
 
 bool MemberDirectory::IsLive(base::NodeId node, base::Incarnation incarnation) const {
   const membership::Member* member = Find(node);
-  return member != nullptr && member->metadata->life == incarnation;
+  return member != nullptr && member->metadata->process_incarnation == incarnation;
 }
 
 const std::set<base::NodeId>& MemberDirectory::AgentsOf(base::ServiceId service) const {
--- a/libs/control/src/planner_election.cpp
+++ b/libs/control/src/planner_election.cpp
@@ -12,7 +12,8 @@
 }
 
 std::uint32_t HashedTag(const membership::Member& member) {
-  const std::uint64_t hash = base::HashPair(member.node.value(), member.metadata->life.value());
+  const std::uint64_t hash =
+      base::HashPair(member.node.value(), member.metadata->process_incarnation.value());
   return kFirstHashedTag | static_cast<std::uint32_t>(hash & kHashedTagMask);
 }
 
--- a/libs/control/src/planner_host.cpp
+++ b/libs/control/src/planner_host.cpp
@@ -25,7 +25,7 @@
                               const settings::ServiceSettings& service) {
   const membership::MemberMetadata& metadata = *member.metadata;
   routing::AgentStatus status;
-  status.entry = {member.node, metadata.life, metadata.data_address, metadata.zone};
+  status.entry = {member.node, metadata.process_incarnation, metadata.data_address, metadata.zone};
   const settings::EndpointSettings* endpoint = service.FindEndpoint(metadata.endpoint_name);
   const bool wanted =
       endpoint != nullptr && endpoint->state == settings::AdministrativeState::kServing;
--- a/libs/control/src/simulation/hollow_deployment.cpp
+++ b/libs/control/src/simulation/hollow_deployment.cpp
@@ -41,7 +41,7 @@
     const simulation::ZoneIndex zone(static_cast<std::uint16_t>(node % zones));
     entries_[node].index =
         simulator_.AddNode({zone, entries_[node].options.metadata.control_address},
-                           MakeLife(node, settings_.is_preloaded));
+                           MakeProcess(node, settings_.is_preloaded));
   }
 }
 
@@ -55,7 +55,7 @@
   metadata.zone = zone.name;
   metadata.control_address = base::SocketAddress::Ipv4(address, kControlPort);
   metadata.data_address = base::SocketAddress::Ipv4(address, kDataPort);
-  metadata.life = base::Incarnation(1);
+  metadata.process_incarnation = base::Incarnation(1);
   if (node < settings_.balancers) {
     metadata.role = membership::Role::kBalancer;
     options.name = "balancer-" + std::to_string(node);
@@ -101,15 +101,15 @@
   for (const Entry& entry : entries_) {
     membership::Member member;
     member.node = base::MakeNodeId(entry.options.name);
-    member.incarnation = entry.options.metadata.life;
-    member.metadata_version = entry.options.metadata.life;
+    member.incarnation = entry.options.metadata.process_incarnation;
+    member.metadata_version = entry.options.metadata.process_incarnation;
     member.metadata = std::make_shared<const membership::MemberMetadata>(entry.options.metadata);
     members.push_back(std::move(member));
   }
   preload_ = std::make_shared<const std::vector<membership::Member>>(std::move(members));
 }
 
-std::unique_ptr<HollowNode> HollowDeployment::MakeLife(std::size_t node, bool is_preloaded) {
+std::unique_ptr<HollowNode> HollowDeployment::MakeProcess(std::size_t node, bool is_preloaded) {
   return std::make_unique<HollowNode>(HollowNodeSettings{entries_[node].options,
                                                          is_preloaded ? preload_ : nullptr, &store_,
                                                          settings_.measures_processor_time});
@@ -119,20 +119,20 @@
   return simulator_.State(entries_[node].index) == simulation::NodeState::kRunning;
 }
 
-const HollowNode& HollowDeployment::Life(std::size_t node) const {
+const HollowNode& HollowDeployment::Process(std::size_t node) const {
   return dynamic_cast<const HollowNode&>(*simulator_.Find(entries_[node].index));
 }
 
 void HollowDeployment::Kill(std::size_t node) { simulator_.Kill(entries_[node].index); }
 
 void HollowDeployment::Restart(std::size_t node) {
-  base::Incarnation& incarnation = entries_[node].options.metadata.life;
+  base::Incarnation& incarnation = entries_[node].options.metadata.process_incarnation;
   // Like a daemon, the node derives its incarnation from its start time in microseconds. Simulated
   // time starts at zero.
   const auto started = simulator_.Now().time_since_epoch().count();
   incarnation =
       base::Incarnation(std::max(incarnation.value() + 1, static_cast<std::uint64_t>(started)));
-  simulator_.Restart(entries_[node].index, MakeLife(node, false));
+  simulator_.Restart(entries_[node].index, MakeProcess(node, false));
 }
 
 base::Revision HollowDeployment::Edit(std::size_t service, std::uint32_t weight) {
@@ -142,7 +142,7 @@
 
 bool HollowDeployment::IsInForceEverywhere(base::Revision revision) const {
   for (std::size_t node = 0; node < settings_.balancers; ++node) {
-    if (IsRunning(node) && Life(node).Core().Settings().Active().revision != revision) {
+    if (IsRunning(node) && Process(node).Core().Settings().Active().revision != revision) {
       return false;
     }
   }
@@ -156,7 +156,7 @@
     if (!IsRunning(node)) {
       continue;
     }
-    const std::shared_ptr<const routing::BucketTable> table = Life(node).Core().TableOf(id);
+    const std::shared_ptr<const routing::BucketTable> table = Process(node).Core().TableOf(id);
     if (table == nullptr) {
       if (node < settings_.balancers) {
         return false;
--- a/libs/control/src/simulation/hollow_node.cpp
+++ b/libs/control/src/simulation/hollow_node.cpp
@@ -20,8 +20,9 @@
 void HollowNode::OnStart(simulation::NodeContext& context) {
   context_ = &context;
   const membership::MemberMetadata& metadata = settings_.options.metadata;
-  const transport::SenderIdentity identity{base::MakeNodeId(settings_.options.name), metadata.life,
-                                           metadata.control_address, metadata.versions};
+  const transport::SenderIdentity identity{base::MakeNodeId(settings_.options.name),
+                                           metadata.process_incarnation, metadata.control_address,
+                                           metadata.versions};
   transport_ = std::make_unique<simulation::SimulatedTransport>(context, identity);
   settings_.options.seed = context.Random().NextUint64();
   core_ = std::make_unique<control::ControlNode>(settings_.options);
@@ -141,7 +142,7 @@
   routing::AgentReport report;
   report.service = metadata.service;
   report.node = base::MakeNodeId(settings_.options.name);
-  report.incarnation = metadata.life;
+  report.incarnation = metadata.process_incarnation;
   report.total_slots = 1;
   if (table != nullptr) {
     report.table_version = table->version;
--- a/libs/control/src/status_document.cpp
+++ b/libs/control/src/status_document.cpp
@@ -147,7 +147,7 @@
       {"role", node.IsBalancer() ? "balancer" : "agent"},
       {"region", metadata.region},
       {"zone", metadata.zone},
-      {"life", metadata.life.value()},
+      {"life", metadata.process_incarnation.value()},
       {"joined", node.Members().IsJoined()},
       {"settings", SettingsJson(node)},
       {"confirmed_milliseconds_ago",
--- a/libs/control/tests/control_node_test.cpp
+++ b/libs/control/tests/control_node_test.cpp
@@ -44,7 +44,7 @@
     std::size_t readers = 0;
     for (std::size_t node = 0; node < nodes.BalancerCount(); ++node) {
       const bool reads =
-          nodes.IsRunning(node) && nodes.Life(node).Core().ShouldUseStore(simulator.Now());
+          nodes.IsRunning(node) && nodes.Process(node).Core().ShouldUseStore(simulator.Now());
       readers += reads ? 1 : 0;
     }
     return readers;
@@ -86,7 +86,7 @@
     nodes.Restart(kOlder);
     bool counted_first = false;
     const auto in_service = [&] {
-      const bool serves = nodes.Life(kOlder).Core().Settings().Active().settings != nullptr;
+      const bool serves = nodes.Process(kOlder).Core().Settings().Active().settings != nullptr;
       counted_first = counted_first || (!serves && stored(1));
       return serves;
     };
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT(deployment.RunUntilInForce(base::Revision(1)));
     CPPUNIT_ASSERT(deployment.RunUntilOneTable());
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, deployment.CountStoreReaders());  // two per region
-    const NodeView& view = *deployment.nodes.Life(0).Core().View();
+    const NodeView& view = *deployment.nodes.Process(0).Core().View();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, view.services.size());
     CPPUNIT_ASSERT(view.services[0].virtual_address < view.services[1].virtual_address);
   }
@@ -114,7 +114,7 @@
       CPPUNIT_ASSERT(deployment.RunUntilInForce(revision));
     }
     for (std::size_t node = 0; node < deployment.nodes.BalancerCount(); ++node) {
-      const std::vector<base::Revision>& seen = deployment.nodes.Life(node).Activations();
+      const std::vector<base::Revision>& seen = deployment.nodes.Process(node).Activations();
       CPPUNIT_ASSERT(std::is_sorted(seen.begin(), seen.end()));
     }
   }
@@ -124,7 +124,7 @@
     CPPUNIT_ASSERT(deployment.RunUntilInForce(base::Revision(1)));
     deployment.simulator.RunFor(std::chrono::seconds(20));
     const std::size_t agent = deployment.nodes.BalancerCount();
-    const NodeView& view = *deployment.nodes.Life(agent).Core().View();
+    const NodeView& view = *deployment.nodes.Process(agent).Core().View();
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.services.size());
     CPPUNIT_ASSERT(view.own_service != nullptr);
     CPPUNIT_ASSERT(view.confirmed_at > deployment.simulator.Now() - std::chrono::seconds(5));
@@ -138,9 +138,9 @@
     const std::size_t killed_agent = deployment.nodes.BalancerCount();
     const base::ServiceId service = base::MakeServiceId(HollowDeployment::ServiceName(0));
     const base::NodeId dead =
-        base::MakeNodeId(deployment.nodes.Life(killed_agent).Core().Options().name);
+        base::MakeNodeId(deployment.nodes.Process(killed_agent).Core().Options().name);
     const auto owns_nothing = [&] {
-      const auto table = deployment.nodes.Life(0).Core().TableOf(service);
+      const auto table = deployment.nodes.Process(0).Core().TableOf(service);
       return std::none_of(table->buckets.begin(), table->buckets.end(),
                           [&](const routing::Bucket& bucket) { return bucket.owner == dead; });
     };
@@ -154,16 +154,17 @@
     // A roster is published and planners run.
     deployment.simulator.RunFor(std::chrono::seconds(30));
     const base::ServiceId service = base::MakeServiceId(HollowDeployment::ServiceName(0));
-    const std::optional<ElectedPlanner> first = deployment.nodes.Life(0).Core().PlannerOf(service);
+    const std::optional<ElectedPlanner> first =
+        deployment.nodes.Process(0).Core().PlannerOf(service);
     const std::size_t planner = BalancerNamed(deployment, first->node);
     const std::size_t other = (planner + 1) % deployment.nodes.BalancerCount();
     const routing::TableVersion before =
-        deployment.nodes.Life(other).Core().TableOf(service)->version;
+        deployment.nodes.Process(other).Core().TableOf(service)->version;
     deployment.nodes.Store().SetAvailable(false);  // a take-over needs no store
     deployment.nodes.Kill(planner);
     const auto taken_over = [&] {
       const routing::TableVersion now =
-          deployment.nodes.Life(other).Core().TableOf(service)->version;
+          deployment.nodes.Process(other).Core().TableOf(service)->version;
       return now.generation > before.generation;
     };
     CPPUNIT_ASSERT(deployment.simulator.RunUntil(taken_over, std::chrono::seconds(60)));
@@ -194,13 +195,13 @@
   static void KillPlannerOfFirstService(Deployment& deployment) {
     const base::ServiceId service = base::MakeServiceId(HollowDeployment::ServiceName(0));
     const std::optional<ElectedPlanner> elected =
-        deployment.nodes.Life(0).Core().PlannerOf(service);
+        deployment.nodes.Process(0).Core().PlannerOf(service);
     deployment.nodes.Kill(BalancerNamed(deployment, elected->node));
   }
 
   static std::size_t BalancerNamed(const Deployment& deployment, base::NodeId node) {
     std::size_t index = 0;
-    while (base::MakeNodeId(deployment.nodes.Life(index).Core().Options().name) != node) {
+    while (base::MakeNodeId(deployment.nodes.Process(index).Core().Options().name) != node) {
       ++index;
     }
     return index;
@@ -210,7 +211,7 @@
     base::Duration longest{};
     for (std::size_t node = deployment.nodes.BalancerCount(); node < deployment.nodes.Size();
          ++node) {
-      const NodeView& view = *deployment.nodes.Life(node).Core().View();
+      const NodeView& view = *deployment.nodes.Process(node).Core().View();
       longest = std::max(longest, deployment.simulator.Now() - view.confirmed_at);
     }
     return longest;
--- a/libs/control/tests/member_fixture.h
+++ b/libs/control/tests/member_fixture.h
@@ -13,10 +13,10 @@
   membership::MemberMetadata metadata;
   metadata.zone = zone;
   metadata.region = "region";
-  metadata.life = base::Incarnation(incarnation);
+  metadata.process_incarnation = base::Incarnation(incarnation);
   membership::Member member;
   member.node = base::NodeId(node);
-  member.incarnation = metadata.life;
+  member.incarnation = metadata.process_incarnation;
   member.metadata = std::make_shared<const membership::MemberMetadata>(metadata);
   return member;
 }
--- a/libs/control/tests/readiness_test.cpp
+++ b/libs/control/tests/readiness_test.cpp
@@ -29,7 +29,7 @@
     return settings;
   }
 
-  const ControlNode& Core(std::size_t node) const { return nodes.Life(node).Core(); }
+  const ControlNode& Core(std::size_t node) const { return nodes.Process(node).Core(); }
 
   bool RunUntilReady(std::size_t node, Readiness& readiness) {
     return simulator.RunUntil([&] { return readiness.Missing(Core(node)).empty(); },
--- a/libs/membership/include/gaugevalve/membership/member.h
+++ b/libs/membership/include/gaugevalve/membership/member.h
@@ -42,8 +42,8 @@
   base::ServiceId service;              // only set for agents
   std::string endpoint_name;            // only set for agents
   transport::ProtocolVersionRange versions;
-  std::uint32_t settings_schema = 1;  // newest settings schema that the node supports
-  base::Incarnation life;  // incarnation at process start; identifies one run of the process
+  std::uint32_t settings_schema = 1;      // newest settings schema that the node supports
+  base::Incarnation process_incarnation;  // incarnation at process start; identifies the process
 
   friend bool operator==(const MemberMetadata&, const MemberMetadata&) = default;
 };
--- a/libs/membership/include/gaugevalve/membership/membership.h
+++ b/libs/membership/include/gaugevalve/membership/membership.h
@@ -39,8 +39,8 @@
 // Not thread-safe. All calls take the time from the same monotonic clock and append to `actions`.
 class Membership {
  public:
-  // `node` and `metadata` describe this node; `metadata.life` is its first incarnation. Throws
-  // std::invalid_argument for names longer than kMaximumNameBytes.
+  // `node` and `metadata` describe this node; `metadata.process_incarnation` is its first
+  // incarnation. Throws std::invalid_argument for names longer than kMaximumNameBytes.
   Membership(base::NodeId node, const MemberMetadata& metadata, MembershipOptions options,
              std::uint64_t seed);
   ~Membership();
@@ -59,8 +59,8 @@
   void OnTick(base::TimePoint now, MembershipActions& actions);
   base::TimePoint NextWakeUp() const;
 
-  // Replaces the metadata of this node, except for `life`, which is kept. Throws as the constructor
-  // does.
+  // Replaces the metadata of this node, except for `process_incarnation`, which is kept. Throws as
+  // the constructor does.
   void UpdateMetadata(const MemberMetadata& metadata, base::TimePoint now,
                       MembershipActions& actions);
 
--- a/libs/membership/include/gaugevalve/membership_simulation/hollow_group.h
+++ b/libs/membership/include/gaugevalve/membership_simulation/hollow_group.h
@@ -34,8 +34,8 @@
   bool IsRunning(std::size_t member) const;
 
   // Returns the current process of the member. The member must not be dead.
-  HollowMember& Life(std::size_t member);
-  const HollowMember& Life(std::size_t member) const;
+  HollowMember& Process(std::size_t member);
+  const HollowMember& Process(std::size_t member) const;
 
   void Kill(std::size_t member);
   // Starts a new process that knows only the seeds. Its wall clock lags by `clock_error`.
@@ -59,7 +59,7 @@
   };
 
   membership::MemberMetadata MakeMetadata(std::size_t member) const;
-  std::unique_ptr<HollowMember> MakeLife(std::size_t member, bool is_preloaded);
+  std::unique_ptr<HollowMember> MakeProcess(std::size_t member, bool is_preloaded);
   bool IsExpected(const Entry& entry) const;
 
   simulation::Simulator& simulator_;
--- a/libs/membership/include/gaugevalve/membership_simulation/hollow_member.h
+++ b/libs/membership/include/gaugevalve/membership_simulation/hollow_member.h
@@ -16,7 +16,7 @@
 // Settings of one process of a simulated member.
 struct HollowMemberSettings {
   base::NodeId node;
-  membership::MemberMetadata metadata;  // `life` is the incarnation of this process
+  membership::MemberMetadata metadata;  // of this process
   membership::MembershipOptions options;
   std::uint64_t seed = 0;
   // Members known from the start; may be null. Shared because thousands of nodes start with the
--- a/libs/membership/src/change_events.cpp
+++ b/libs/membership/src/change_events.cpp
@@ -14,7 +14,7 @@
   }
   if (!was_live) {
     events.push_back(EventKind::kJoined);
-  } else if (member.metadata->life != previous->life) {
+  } else if (member.metadata->process_incarnation != previous->process_incarnation) {
     events.push_back(EventKind::kRestarted);
   } else if (member.metadata_version != previous->metadata_version) {
     events.push_back(EventKind::kChanged);
--- a/libs/membership/src/member_record.cpp
+++ b/libs/membership/src/member_record.cpp
@@ -22,7 +22,7 @@
   encoded.set_endpoint_name(metadata.endpoint_name);
   encoded.set_minimum_protocol_version(metadata.versions.minimum);
   encoded.set_maximum_protocol_version(metadata.versions.maximum);
-  encoded.set_life(metadata.life.value());
+  encoded.set_life(metadata.process_incarnation.value());
   encoded.set_settings_schema(metadata.settings_schema);
 }
 
@@ -52,7 +52,7 @@
   metadata->service = base::ServiceId(encoded.service());
   metadata->endpoint_name = encoded.endpoint_name();
   metadata->versions = {encoded.minimum_protocol_version(), encoded.maximum_protocol_version()};
-  metadata->life = base::Incarnation(encoded.life());
+  metadata->process_incarnation = base::Incarnation(encoded.life());
   metadata->settings_schema = std::max(encoded.settings_schema(), kFirstSettingsSchema);
   return metadata;
 }
--- a/libs/membership/src/member_table.cpp
+++ b/libs/membership/src/member_table.cpp
@@ -89,7 +89,7 @@
     return {MergeOutcome::kNeedsMetadata, std::nullopt};
   }
   const PreviousState previous{member.state, member.incarnation, member.metadata_version,
-                               member.metadata->life};
+                               member.metadata->process_incarnation};
   RemoveFromIndexes(member);
   member.incarnation = record.incarnation;
   member.state = record.state;
--- a/libs/membership/src/member_table.h
+++ b/libs/membership/src/member_table.h
@@ -28,7 +28,7 @@
   MemberState state = MemberState::kAlive;
   base::Incarnation incarnation;
   base::Incarnation metadata_version;
-  base::Incarnation life;
+  base::Incarnation process_incarnation;
 };
 
 struct MergeResult {
--- a/libs/membership/src/membership_core.cpp
+++ b/libs/membership/src/membership_core.cpp
@@ -26,8 +26,8 @@
   RequireShortNames(metadata);
   Member self;
   self.node = node;
-  self.incarnation = metadata.life;
-  self.metadata_version = metadata.life;
+  self.incarnation = metadata.process_incarnation;
+  self.metadata_version = metadata.process_incarnation;
   self.metadata = std::make_shared<MemberMetadata>(metadata);
   return self;
 }
@@ -119,7 +119,7 @@
   RequireShortNames(metadata);
   BeginCall(now, actions);
   auto changed = std::make_shared<MemberMetadata>(metadata);
-  changed->life = self_.metadata->life;
+  changed->process_incarnation = self_.metadata->process_incarnation;
   self_.metadata = std::move(changed);
   self_.incarnation = base::Incarnation(self_.incarnation.value() + 1);
   self_.metadata_version = self_.incarnation;
--- a/libs/membership/src/membership_records.cpp
+++ b/libs/membership/src/membership_records.cpp
@@ -90,8 +90,8 @@
   if (is_known || self_.state == MemberState::kLeft || options_.faults.never_refute) {
     return;
   }
-  const bool is_of_another_life = record.metadata_version > self_.metadata_version;
-  if (is_of_another_life && record.state == MemberState::kAlive && IsJoined()) {
+  const bool is_of_another_process = record.metadata_version > self_.metadata_version;
+  if (is_of_another_process && record.state == MemberState::kAlive && IsJoined()) {
     is_superseded_ = true;
     EmitEvent(EventKind::kSelfSuperseded, self_);
     return;
@@ -111,8 +111,9 @@
 }
 
 void Membership::Implementation::ReportOwnDeath(const MemberRecord& record) {
-  const bool is_of_this_life = IsJoined() && record.incarnation >= self_.metadata->life;
-  if (record.state != MemberState::kDead || !is_of_this_life ||
+  const bool is_of_this_process =
+      IsJoined() && record.incarnation >= self_.metadata->process_incarnation;
+  if (record.state != MemberState::kDead || !is_of_this_process ||
       record.incarnation <= last_reported_death_ || options_.faults.never_refute) {
     return;
   }
@@ -161,9 +162,9 @@
 
 void Membership::Implementation::NotifyOfDeath(const Member& member,
                                                const PreviousState& previous) {
-  const bool is_same_life = member.metadata->life == previous.life;
+  const bool is_same_process = member.metadata->process_incarnation == previous.process_incarnation;
   const double fraction = kExpectedDeathNotices / static_cast<double>(table_.LiveCount());
-  if (!IsLive(member.state) || !is_same_life || random_.NextUnit() >= fraction) {
+  if (!IsLive(member.state) || !is_same_process || random_.NextUnit() >= fraction) {
     return;
   }
   Member death = member;
--- a/libs/membership/src/simulation/hollow_group.cpp
+++ b/libs/membership/src/simulation/hollow_group.cpp
@@ -21,7 +21,7 @@
                                    kControlPort);
 }
 
-base::Incarnation LifeAt(base::TimePoint now) {
+base::Incarnation IncarnationAt(base::TimePoint now) {
   return base::Incarnation(kEpoch + static_cast<std::uint64_t>(now.time_since_epoch().count()));
 }
 
@@ -39,15 +39,16 @@
     entry.node = base::MakeNodeId("node-" + std::to_string(member));
     entry.metadata = MakeMetadata(member);
     members_.push_back(entry);
-    known->push_back({entry.node, entry.metadata.life, entry.metadata.life,
-                      membership::MemberState::kAlive, simulator_.Now(),
+    known->push_back({entry.node, entry.metadata.process_incarnation,
+                      entry.metadata.process_incarnation, membership::MemberState::kAlive,
+                      simulator_.Now(),
                       std::make_shared<membership::MemberMetadata>(entry.metadata)});
   }
   preload_ = std::move(known);
   for (std::size_t member = 0; member < members_.size(); ++member) {
     members_[member].index =
         simulator_.AddNode({.zone = Zone(member), .address = ControlAddress(member)},
-                           MakeLife(member, settings_.is_preloaded));
+                           MakeProcess(member, settings_.is_preloaded));
   }
 }
 
@@ -60,11 +61,11 @@
   return simulator_.State(Index(member)) == simulation::NodeState::kRunning;
 }
 
-HollowMember& HollowGroup::Life(std::size_t member) {
+HollowMember& HollowGroup::Process(std::size_t member) {
   return dynamic_cast<HollowMember&>(*simulator_.Find(Index(member)));
 }
 
-const HollowMember& HollowGroup::Life(std::size_t member) const {
+const HollowMember& HollowGroup::Process(std::size_t member) const {
   return dynamic_cast<const HollowMember&>(*simulator_.Find(Index(member)));
 }
 
@@ -73,24 +74,24 @@
 void HollowGroup::Restart(std::size_t member, base::Duration clock_error) {
   Entry& entry = members_.at(member);
   entry.has_left = false;
-  entry.metadata.life = LifeAt(simulator_.Now() - clock_error);
-  simulator_.Restart(entry.index, MakeLife(member, false));
+  entry.metadata.process_incarnation = IncarnationAt(simulator_.Now() - clock_error);
+  simulator_.Restart(entry.index, MakeProcess(member, false));
 }
 
 void HollowGroup::Leave(std::size_t member) {
   members_.at(member).has_left = true;
-  Life(member).Runner().Leave();
+  Process(member).Runner().Leave();
 }
 
 bool HollowGroup::HasCorrectView(std::size_t observer, std::string* difference) const {
-  const membership::Membership& view = Life(observer).Core();
+  const membership::Membership& view = Process(observer).Core();
   std::size_t expected = 0;
   for (std::size_t member = 0; member < members_.size(); ++member) {
     if (!IsExpected(members_[member])) {
       continue;
     }
     ++expected;
-    const membership::Member& truth = Life(member).Core().Self();
+    const membership::Member& truth = Process(member).Core().Self();
     const auto seen = view.Find(truth.node);
     const bool is_correct = seen && seen->state == membership::MemberState::kAlive &&
                             seen->incarnation == truth.incarnation &&
@@ -138,11 +139,11 @@
     metadata.service = base::MakeServiceId("service-" + number);
     metadata.endpoint_name = "endpoint-" + std::to_string(member);
   }
-  metadata.life = LifeAt(simulator_.Now());
+  metadata.process_incarnation = IncarnationAt(simulator_.Now());
   return metadata;
 }
 
-std::unique_ptr<HollowMember> HollowGroup::MakeLife(std::size_t member, bool is_preloaded) {
+std::unique_ptr<HollowMember> HollowGroup::MakeProcess(std::size_t member, bool is_preloaded) {
   const Entry& entry = members_.at(member);
   HollowMemberSettings settings;
   settings.node = entry.node;
--- a/libs/membership/src/simulation/hollow_member.cpp
+++ b/libs/membership/src/simulation/hollow_member.cpp
@@ -13,8 +13,8 @@
   context_ = &context;
   settings_.metadata.control_address = context.Address();
   transport_ = std::make_unique<simulation::SimulatedTransport>(
-      context, transport::SenderIdentity{settings_.node, settings_.metadata.life, context.Address(),
-                                         settings_.metadata.versions});
+      context, transport::SenderIdentity{settings_.node, settings_.metadata.process_incarnation,
+                                         context.Address(), settings_.metadata.versions});
   core_ = std::make_unique<membership::Membership>(settings_.node, settings_.metadata,
                                                    settings_.options, settings_.seed);
   if (settings_.preload != nullptr) {
--- a/libs/membership/tests/byte_budget_test.cpp
+++ b/libs/membership/tests/byte_budget_test.cpp
@@ -103,7 +103,7 @@
     metadata.endpoint_name = "endpoint";
     metadata.control_address = base::SocketAddress::Ipv4(0x0a000001, 7000);
     metadata.data_address = metadata.control_address;
-    metadata.life = base::Incarnation(1000);
+    metadata.process_incarnation = base::Incarnation(1000);
     return metadata;
   }
 
@@ -111,8 +111,9 @@
     const auto metadata = std::make_shared<MemberMetadata>(MakeMetadata());
     std::vector<Member> members;
     for (std::size_t index = 0; index < kMembers; ++index) {
-      members.push_back({base::MakeNodeId("node-" + std::to_string(index)), metadata->life,
-                         metadata->life, MemberState::kAlive, At(0), metadata});
+      members.push_back({base::MakeNodeId("node-" + std::to_string(index)),
+                         metadata->process_incarnation, metadata->process_incarnation,
+                         MemberState::kAlive, At(0), metadata});
     }
     return members;
   }
--- a/libs/membership/tests/group_summary_test.cpp
+++ b/libs/membership/tests/group_summary_test.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 constexpr std::size_t kMembers = 40;
-constexpr std::uint64_t kLife = 100;
+constexpr std::uint64_t kIncarnation = 100;
 
 MemberRecord MakeRecord(std::size_t index, std::uint64_t refutations, MemberState state) {
   MemberMetadata metadata;
   metadata.zone = "zone";
-  metadata.life = base::Incarnation(kLife);
+  metadata.process_incarnation = base::Incarnation(kIncarnation);
   MemberRecord record;
   record.node = base::NodeId(1 + index * MemberGroups::kSlices);  // all in one group
-  record.incarnation = base::Incarnation(kLife + refutations);
-  record.metadata_version = base::Incarnation(kLife);
+  record.incarnation = base::Incarnation(kIncarnation + refutations);
+  record.metadata_version = base::Incarnation(kIncarnation);
   record.state = state;
   record.metadata = std::make_shared<MemberMetadata>(metadata);
   return record;
@@ -57,7 +57,7 @@
     sender.Merge(MakeRecord(1, 1, MemberState::kDead), {});
     const auto records = DecodeSummary(MakeTable(kMembers), Summarise(sender, 1, 1), false);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, records.size());
-    CPPUNIT_ASSERT(records.front().incarnation == base::Incarnation(kLife + 1));
+    CPPUNIT_ASSERT(records.front().incarnation == base::Incarnation(kIncarnation + 1));
     CPPUNIT_ASSERT(records.front().node == MakeRecord(1, 1, MemberState::kDead).node);
   }
 
--- a/libs/membership/tests/member_table_test.cpp
+++ b/libs/membership/tests/member_table_test.cpp
@@ -15,7 +15,7 @@
   record.state = state;
   if (with_metadata) {
     MemberMetadata metadata;
-    metadata.life = record.incarnation;
+    metadata.process_incarnation = record.incarnation;
     record.metadata = std::make_shared<MemberMetadata>(metadata);
   }
   return record;
@@ -32,7 +32,7 @@
 class MemberTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MemberTableTest);
   CPPUNIT_TEST(NewerRecordWins);
-  CPPUNIT_TEST(NewLifeNeedsItsMetadata);
+  CPPUNIT_TEST(ANewIncarnationNeedsItsMetadata);
   CPPUNIT_TEST(RefutationKeepsTheMetadata);
   CPPUNIT_TEST(DigestDependsOnLiveMembersOnly);
   CPPUNIT_TEST(FullTableEvictsDeadMembers);
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table.LiveCount());
   }
 
-  void NewLifeNeedsItsMetadata() {
+  void ANewIncarnationNeedsItsMetadata() {
     MemberTable table(kLargeCapacity);
     ExpectMerge(table, MakeRecord(10, MemberState::kAlive, false), MergeOutcome::kNeedsMetadata);
     CPPUNIT_ASSERT(table.Find(kNode) == nullptr);
@@ -71,7 +71,7 @@
     refutation.metadata_version = base::Incarnation(10);
     ExpectMerge(table, refutation, MergeOutcome::kChanged);
     const Member* member = table.Find(kNode);
-    CPPUNIT_ASSERT(member->metadata->life == base::Incarnation(10));
+    CPPUNIT_ASSERT(member->metadata->process_incarnation == base::Incarnation(10));
     CPPUNIT_ASSERT(member->metadata_version == base::Incarnation(10));
   }
 
--- a/libs/membership/tests/membership_fuzzer.cpp
+++ b/libs/membership/tests/membership_fuzzer.cpp
@@ -9,7 +9,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace gaugevalve;  // NOLINT(google-build-using-namespace)
   membership::MemberMetadata metadata;
-  metadata.life = base::Incarnation(1000);
+  metadata.process_incarnation = base::Incarnation(1000);
   membership::Membership core(base::NodeId(1), metadata, {}, 1);
   membership::MembershipActions actions;
   core.Start(base::TimePoint{}, actions);
--- a/libs/membership/tests/membership_test.cpp
+++ b/libs/membership/tests/membership_test.cpp
@@ -53,7 +53,7 @@
     MakeGroup(false);
     ExpectConvergence(seconds(30));
     for (std::size_t member = 0; member < kMembers; ++member) {
-      CPPUNIT_ASSERT(group_->Life(member).Core().IsJoined());
+      CPPUNIT_ASSERT(group_->Process(member).Core().IsJoined());
     }
   }
 
@@ -80,11 +80,11 @@
   void RestartIsReported() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
-    const base::Incarnation former = group_->Life(9).Core().Self().incarnation;
+    const base::Incarnation former = group_->Process(9).Core().Self().incarnation;
     group_->Restart(9);
     ExpectConvergence(seconds(30));
     CPPUNIT_ASSERT_EQUAL(kMembers - 1, Observers(EventKind::kRestarted, 9));
-    CPPUNIT_ASSERT(group_->Life(3).Core().Find(group_->Node(9))->incarnation > former);
+    CPPUNIT_ASSERT(group_->Process(3).Core().Find(group_->Node(9))->incarnation > former);
   }
 
   void FrozenMemberLearnsThatItWasDeclaredDead() {
@@ -126,11 +126,11 @@
   void MetadataChangeIsSeenByAll() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
-    MemberMetadata metadata = *group_->Life(9).Core().Self().metadata;
+    MemberMetadata metadata = *group_->Process(9).Core().Self().metadata;
     metadata.leaving = true;
-    group_->Life(9).Runner().UpdateMetadata(metadata);
+    group_->Process(9).Runner().UpdateMetadata(metadata);
     ExpectConvergence(seconds(30));
-    CPPUNIT_ASSERT(group_->Life(3).Core().Find(group_->Node(9))->metadata->leaving);
+    CPPUNIT_ASSERT(group_->Process(3).Core().Find(group_->Node(9))->metadata->leaving);
     CPPUNIT_ASSERT_EQUAL(kMembers - 1, Observers(EventKind::kChanged, 9));
   }
 
@@ -143,8 +143,9 @@
     simulator_->RunFor(seconds(1));
     membership_simulation::HollowMemberSettings settings;
     settings.node = group_->Node(9);
-    settings.metadata = *group_->Life(9).Core().Self().metadata;
-    settings.metadata.life = base::Incarnation(settings.metadata.life.value() + 6'000'000);
+    settings.metadata = *group_->Process(9).Core().Self().metadata;
+    settings.metadata.process_incarnation =
+        base::Incarnation(settings.metadata.process_incarnation.value() + 6'000'000);
     settings.options.seeds = {simulator_->Placement(group_->Index(0)).address};
     const base::SocketAddress elsewhere = base::SocketAddress::Ipv4(0x0a010101, 7000);
     const simulation::NodeIndex successor =
@@ -154,7 +155,7 @@
     simulator_->Thaw(group_->Index(9));
     simulator_->RunFor(seconds(20));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Observers(EventKind::kSelfSuperseded, 9));
-    const auto seen = group_->Life(3).Core().Find(group_->Node(9));
+    const auto seen = group_->Process(3).Core().Find(group_->Node(9));
     CPPUNIT_ASSERT(seen->state == MemberState::kAlive);
     CPPUNIT_ASSERT(seen->metadata->control_address == elsewhere);
     CPPUNIT_ASSERT(simulator_->State(successor) == simulation::NodeState::kRunning);
@@ -166,13 +167,13 @@
     group_->Kill(9);
     membership_simulation::HollowMemberSettings settings;
     settings.node = base::MakeNodeId("another");
-    settings.metadata = *group_->Life(13).Core().Self().metadata;
+    settings.metadata = *group_->Process(13).Core().Self().metadata;
     settings.options.seeds = {simulator_->Placement(group_->Index(0)).address};
     simulator_->AddNode(simulator_->Placement(group_->Index(9)),
                         std::make_unique<membership_simulation::HollowMember>(settings));
     simulator_->RunFor(seconds(30));
     CPPUNIT_ASSERT_EQUAL(kMembers - 1, Observers(EventKind::kFailed, 9));
-    CPPUNIT_ASSERT(group_->Life(3).Core().Find(settings.node)->state == MemberState::kAlive);
+    CPPUNIT_ASSERT(group_->Process(3).Core().Find(settings.node)->state == MemberState::kAlive);
   }
 
   // Guards against a refutation being combined with outdated metadata. A member that had missed a
@@ -203,13 +204,13 @@
   void RestartWithClockSetBackIsNotSuperseded() {
     MakeGroup(true);
     simulator_->RunFor(seconds(5));
-    const base::Incarnation former = group_->Life(9).Core().Self().incarnation;
+    const base::Incarnation former = group_->Process(9).Core().Self().incarnation;
     group_->Kill(9);
     simulator_->RunFor(seconds(1));
     group_->Restart(9, std::chrono::hours(1));
     ExpectConvergence(seconds(60));
-    CPPUNIT_ASSERT(group_->Life(9).Core().Self().incarnation > former);
-    CPPUNIT_ASSERT(group_->Life(9).Core().Self().metadata->life < former);
+    CPPUNIT_ASSERT(group_->Process(9).Core().Self().incarnation > former);
+    CPPUNIT_ASSERT(group_->Process(9).Core().Self().metadata->process_incarnation < former);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, Observers(EventKind::kSelfSuperseded, 9));
   }
 
@@ -250,7 +251,7 @@
 
   bool EachRegionSeesOnlyItself() const {
     for (std::size_t member = 0; member < kMembers; ++member) {
-      if (group_->Life(member).Core().LiveCount() != kMembers / 2) {
+      if (group_->Process(member).Core().LiveCount() != kMembers / 2) {
         return false;
       }
     }
--- a/libs/membership/tests/nng_membership_test.cpp
+++ b/libs/membership/tests/nng_membership_test.cpp
@@ -26,8 +26,9 @@
  public:
   SocketMember(event_base* base, std::uint64_t number,
                const std::vector<base::SocketAddress>& seeds)
-      : transport_(base, clock_,
-                   {base::NodeId(number), kLife, *base::SocketAddress::Parse("127.0.0.1:0"), {}}),
+      : transport_(
+            base, clock_,
+            {base::NodeId(number), kIncarnation, *base::SocketAddress::Parse("127.0.0.1:0"), {}}),
         core_(base::NodeId(number), MakeMetadata(), {.seeds = seeds}, number),
         runner_(core_, transport_, clock_, [](const MembershipEvent&) {}) {
     runner_.Start();
@@ -44,13 +45,13 @@
   void Leave() { runner_.Leave(); }
 
  private:
-  static constexpr base::Incarnation kLife{1000};
+  static constexpr base::Incarnation kIncarnation{1000};
 
   MemberMetadata MakeMetadata() const {
     MemberMetadata metadata;
     metadata.zone = "zone";
     metadata.control_address = transport_.Identity().control_address;
-    metadata.life = kLife;
+    metadata.process_incarnation = kIncarnation;
     return metadata;
   }
 
--- a/libs/placement/include/gaugevalve/placement/agent_core.h
+++ b/libs/placement/include/gaugevalve/placement/agent_core.h
@@ -29,7 +29,7 @@
 namespace gaugevalve::placement {
 
 struct AgentCoreSettings {
-  base::Incarnation life;
+  base::Incarnation incarnation;
   base::ServiceId service;
   std::string zone;
   base::Duration announcement_period = std::chrono::seconds(1);
--- a/libs/placement/include/gaugevalve/placement/agent_report.h
+++ b/libs/placement/include/gaugevalve/placement/agent_report.h
@@ -42,7 +42,7 @@
 
 struct AgentReport {
   /// Incarnation of the agent's process; incarnation numbers are not ordered.
-  base::Incarnation life;
+  base::Incarnation incarnation;
   std::uint64_t sequence = 0;  ///< increases with each report of this incarnation
   base::ServiceId service;
   std::string zone;
--- a/libs/placement/include/gaugevalve/placement/agent_reporter.h
+++ b/libs/placement/include/gaugevalve/placement/agent_reporter.h
@@ -28,7 +28,7 @@
  public:
   /// @param self  address under which nodes reach this agent
   /// @param core  creates the reports; must outlive this object
-  AgentReporter(const base::SocketAddress& self, base::Incarnation life, AgentCore& core);
+  AgentReporter(const base::SocketAddress& self, base::Incarnation incarnation, AgentCore& core);
 
   /// Sets addresses that also receive reports while only a few balancers are alive.
   void SetSeeds(std::vector<base::SocketAddress> seeds) { m_balancers.SetSeeds(std::move(seeds)); }
@@ -56,7 +56,7 @@
  private:
   std::vector<base::SocketAddress> Targets(base::TimePoint now) const;
 
-  base::Incarnation m_life;
+  base::Incarnation m_incarnation;
   AgentCore& m_core;
   BalancerList m_balancers;
   PeerAgentList m_peer_agents;
--- a/libs/placement/include/gaugevalve/placement/balancer_gossip.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_gossip.h
@@ -33,7 +33,7 @@
  public:
   /// @param self  the address under which nodes reach this balancer
   /// @param core  knows the agents and the routes; must outlive this object
-  BalancerGossip(const base::SocketAddress& self, base::Incarnation life, BalancerCore& core,
+  BalancerGossip(const base::SocketAddress& self, base::Incarnation incarnation, BalancerCore& core,
                  base::RandomSource& random, base::TimePoint now, StoreReaderSettings reader = {});
 
   /// Sets the addresses that are also greeted while only a few other balancers are alive.
@@ -116,7 +116,7 @@
   static constexpr std::size_t kListingDatagramsPerPeriod = 40;
   static constexpr base::Duration kListingPeriod = std::chrono::milliseconds(100);
 
-  base::Incarnation m_life;
+  base::Incarnation m_incarnation;
   BalancerCore& m_core;
   base::RandomSource& m_random;
   BalancerList m_balancers;
--- a/libs/placement/include/gaugevalve/placement/load_notice.h
+++ b/libs/placement/include/gaugevalve/placement/load_notice.h
@@ -19,7 +19,7 @@
   static constexpr std::size_t kSizeWithoutQueued =
       22;  ///< bytes; format of releases without `queued`
 
-  base::Incarnation life;      ///< incarnation of the agent; the lower 32 bits are sent
+  base::Incarnation incarnation;  ///< incarnation of the agent; the lower 32 bits are sent
   std::uint64_t sequence = 0;  ///< shares the sequence of the reports; the lower 32 bits are sent
   std::uint32_t busy = 0;
   PriorityCounts queued{};  ///< each limited to 255
--- a/libs/placement/include/gaugevalve/placement/node_message.h
+++ b/libs/placement/include/gaugevalve/placement/node_message.h
@@ -22,7 +22,7 @@
 
 /// A balancer's gossip message to agents and other balancers.
 struct BalancerGreeting {
-  base::Incarnation life;
+  base::Incarnation incarnation;
   std::uint64_t routes_version = 0;    ///< 0 for none
   std::vector<BalancerAge> balancers;  ///< live balancers, without the sender
   std::vector<ListedAgent> agents;
--- a/libs/placement/src/agent_core.cpp
+++ b/libs/placement/src/agent_core.cpp
@@ -335,7 +335,7 @@
 
 AgentReport AgentCore::MakeReport(base::TimePoint now) {
   AgentReport report;
-  report.life = m_settings.life;
+  report.incarnation = m_settings.incarnation;
   report.sequence = ++m_report_sequence;
   report.service = m_settings.service;
   report.zone = m_settings.zone;
--- a/libs/placement/src/agent_directory.cpp
+++ b/libs/placement/src/agent_directory.cpp
@@ -52,15 +52,15 @@
     return ReportOutcome::kNew;
   }
   KnownAgent& agent = found->second;
-  const bool is_same_incarnation = report.life == agent.report.life;
+  const bool is_same_incarnation = report.incarnation == agent.report.incarnation;
   const bool is_older_incarnation =
-      !is_same_incarnation && report.life == agent.previous_incarnation;
+      !is_same_incarnation && report.incarnation == agent.previous_incarnation;
   if (is_older_incarnation || (is_same_incarnation && report.sequence <= agent.report.sequence)) {
     return ReportOutcome::kLate;
   }
   const bool was_only_listed = agent.is_only_listed;
   if (!is_same_incarnation && !was_only_listed) {
-    agent.previous_incarnation = agent.report.life;
+    agent.previous_incarnation = agent.report.incarnation;
   }
   const bool standing_changed = report.standing != agent.report.standing;
   Adopt(agent, report, now);
--- a/libs/placement/src/agent_reporter.cpp
+++ b/libs/placement/src/agent_reporter.cpp
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-AgentReporter::AgentReporter(const base::SocketAddress& self, base::Incarnation life,
+AgentReporter::AgentReporter(const base::SocketAddress& self, base::Incarnation incarnation,
                              AgentCore& core)
-    : m_life(life), m_core(core), m_balancers(self, kAliveFor), m_peer_agents(self) {}
+    : m_incarnation(incarnation), m_core(core), m_balancers(self, kAliveFor), m_peer_agents(self) {}
 
 std::vector<base::SocketAddress> AgentReporter::Targets(base::TimePoint now) const {
   return m_balancers.Targets(kMinAliveBalancers, now);
@@ -65,7 +65,7 @@
 OutgoingReport AgentReporter::ReportInTurn(base::TimePoint now) {
   if (m_core.Reports().IsRoundDue(now)) {
     m_balancers.ForgetSilent(kForgetAfter, now);
-    m_core.Reports().BeginRound(Targets(now), m_life.value(), now);
+    m_core.Reports().BeginRound(Targets(now), m_incarnation.value(), now);
   }
   std::vector<base::SocketAddress> share = m_core.Reports().TakeShare(now);
   if (share.empty()) {
--- a/libs/placement/src/balancer_gossip.cpp
+++ b/libs/placement/src/balancer_gossip.cpp
@@ -55,10 +55,10 @@
 
 }  // namespace
 
-BalancerGossip::BalancerGossip(const base::SocketAddress& self, base::Incarnation life,
+BalancerGossip::BalancerGossip(const base::SocketAddress& self, base::Incarnation incarnation,
                                BalancerCore& core, base::RandomSource& random, base::TimePoint now,
                                StoreReaderSettings reader)
-    : m_life(life),
+    : m_incarnation(incarnation),
       m_core(core),
       m_random(random),
       m_balancers(self, kAliveTimeout),
@@ -250,7 +250,7 @@
 BalancerGreeting BalancerGossip::GreetingWithoutLists(bool wants_answer,
                                                       base::TimePoint now) const {
   BalancerGreeting greeting;
-  greeting.life = m_life;
+  greeting.incarnation = m_incarnation;
   greeting.routes_version = m_core.Routes().version;
   greeting.agent_count = m_core.Agents().PresentCount();
   greeting.wants_answer = wants_answer;
--- a/libs/placement/src/load_notice.cpp
+++ b/libs/placement/src/load_notice.cpp
@@ -33,20 +33,16 @@
 }  // namespace
 
 bool LoadNotice::IsNewerThan(const AgentReport& report) const {
-  const bool is_same_incarnation =
-      static_cast<std::uint32_t>(life.value()) == static_cast<std::uint32_t>(report.life.value());
+  const bool is_same_incarnation = static_cast<std::uint32_t>(incarnation.value()) ==
+                                   static_cast<std::uint32_t>(report.incarnation.value());
   const auto ahead = static_cast<std::int32_t>(static_cast<std::uint32_t>(sequence) -
                                                static_cast<std::uint32_t>(report.sequence));
   return is_same_incarnation && ahead > 0;
 }
 
 LoadNotice MakeLoadNotice(const AgentReport& report) {
-  return {report.life,
-          report.sequence,
-          report.load.busy,
-          report.load.queued,
-          report.load.busy_average,
-          report.load.open_flows,
+  return {report.incarnation,     report.sequence,          report.load.busy,
+          report.load.queued,     report.load.busy_average, report.load.open_flows,
           report.load.answer_time};
 }
 
@@ -61,7 +57,7 @@
   WriteNumber(datagram, kFlowsOffset, ToField(notice.open_flows));
   WriteNumber(datagram, kAnswerOffset, static_cast<std::uint32_t>(answer));
   WriteNumber(datagram, kSequenceOffset, static_cast<std::uint32_t>(notice.sequence));
-  WriteNumber(datagram, kIncarnationOffset, static_cast<std::uint32_t>(notice.life.value()));
+  WriteNumber(datagram, kIncarnationOffset, static_cast<std::uint32_t>(notice.incarnation.value()));
   constexpr std::uint32_t kLargest = std::numeric_limits<std::uint8_t>::max();
   for (std::size_t priority = 0; priority < kPriorityCount; ++priority) {
     bytes[kQueuedOffset + priority] =
@@ -83,7 +79,7 @@
   notice.open_flows = ReadNumber<std::uint16_t>(datagram, kFlowsOffset);
   notice.answer_time = base::Duration(ReadNumber<std::uint32_t>(datagram, kAnswerOffset));
   notice.sequence = ReadNumber<std::uint32_t>(datagram, kSequenceOffset);
-  notice.life = base::Incarnation(ReadNumber<std::uint32_t>(datagram, kIncarnationOffset));
+  notice.incarnation = base::Incarnation(ReadNumber<std::uint32_t>(datagram, kIncarnationOffset));
   for (std::size_t priority = 0; has_queued && priority < kPriorityCount; ++priority) {
     notice.queued[priority] = datagram[kQueuedOffset + priority];
   }
--- a/libs/placement/src/node_message.cpp
+++ b/libs/placement/src/node_message.cpp
@@ -88,7 +88,7 @@
 }
 
 void Fill(const AgentReport& report, proto::AgentReport& message) {
-  message.set_life(report.life.value());
+  message.set_life(report.incarnation.value());
   message.set_sequence(report.sequence);
   message.set_service(report.service.value());
   message.set_zone(report.zone);
@@ -128,7 +128,7 @@
     return std::nullopt;
   }
   AgentReport report;
-  report.life = base::Incarnation(message.life());
+  report.incarnation = base::Incarnation(message.life());
   report.sequence = message.sequence();
   report.service = base::ServiceId(message.service());
   report.zone = message.zone();
@@ -160,7 +160,7 @@
 }
 
 void Fill(const BalancerGreeting& greeting, proto::BalancerGreeting& message) {
-  message.set_life(greeting.life.value());
+  message.set_life(greeting.incarnation.value());
   message.set_routes_version(greeting.routes_version);
   for (const BalancerAge& balancer : greeting.balancers) {
     proto::KnownNode& node = *message.add_balancers();
@@ -208,7 +208,7 @@
 
 BalancerGreeting ReadGreeting(const proto::BalancerGreeting& message, std::uint16_t port) {
   BalancerGreeting greeting;
-  greeting.life = base::Incarnation(message.life());
+  greeting.incarnation = base::Incarnation(message.life());
   greeting.routes_version = message.routes_version();
   for (const proto::KnownNode& node : message.balancers()) {
     greeting.balancers.push_back(
--- a/libs/placement/tests/agent_core_test.cpp
+++ b/libs/placement/tests/agent_core_test.cpp
@@ -319,7 +319,7 @@
                          std::string(ReturnReasonName(decision.header.reason)));
   }
 
-  AgentCore m_core{AgentCoreSettings{.life = base::Incarnation(1),
+  AgentCore m_core{AgentCoreSettings{.incarnation = base::Incarnation(1),
                                      .service = orders_service,
                                      .zone = "east",
                                      .announcement_period = milliseconds(1000),
--- a/libs/placement/tests/agent_reporter_test.cpp
+++ b/libs/placement/tests/agent_reporter_test.cpp
@@ -115,7 +115,7 @@
 
   static AgentCoreSettings Settings() {
     AgentCoreSettings settings;
-    settings.life = base::Incarnation(9);
+    settings.incarnation = base::Incarnation(9);
     settings.service = testing::orders_service;
     return settings;
   }
--- a/libs/placement/tests/balancer_gossip_test.cpp
+++ b/libs/placement/tests/balancer_gossip_test.cpp
@@ -225,7 +225,7 @@
   void ARestartedAgentIsToldTheFormerStateOfItsEndpoint() {
     HearAgents(1);
     AgentReport restarted = Report(1, 0, EndpointStanding::kUnknown);
-    restarted.life = base::Incarnation(99);
+    restarted.incarnation = base::Incarnation(99);
     restarted.wants_memory = true;
     m_core->OnReport(Node(kFirstAgent), restarted, At(1000));
     const KnownAgent* agent = m_core->Agents().Find(Node(kFirstAgent));
--- a/libs/placement/tests/endpoint_restart_test.cpp
+++ b/libs/placement/tests/endpoint_restart_test.cpp
@@ -268,8 +268,8 @@
   }
 
   EndpointGate m_gate{milliseconds(1000), milliseconds(2000)};
-  AgentCore m_agent{
-      AgentCoreSettings{.life = base::Incarnation(1), .service = orders_service, .zone = "east"}};
+  AgentCore m_agent{AgentCoreSettings{
+      .incarnation = base::Incarnation(1), .service = orders_service, .zone = "east"}};
   base::TimePoint m_now = At(10'000);
 };
 
--- a/libs/placement/tests/node_knowledge_test.cpp
+++ b/libs/placement/tests/node_knowledge_test.cpp
@@ -32,7 +32,7 @@
   CPPUNIT_TEST(AListedAgentIsNotFresh);
   CPPUNIT_TEST(AnAgentThatReportsLessOftenStaysFreshForLonger);
   CPPUNIT_TEST(ANoticeUpdatesTheLoadOfAKnownAgent);
-  CPPUNIT_TEST(ANoticeThatIsLateOrOfAnotherLifeIsIgnored);
+  CPPUNIT_TEST(ANoticeThatIsLateOrOfAnotherIncarnationIsIgnored);
   CPPUNIT_TEST(NoticesRoundTrip);
   CPPUNIT_TEST(NoticeValuesAreClampedToTheirFields);
   CPPUNIT_TEST(MalformedNoticesAreRefused);
@@ -62,7 +62,7 @@
 
   void LivesAreNotOrdered() {
     AgentReport second = Report(1);
-    second.life = base::Incarnation(3);  // smaller than the first one's
+    second.incarnation = base::Incarnation(3);  // smaller than the first one's
     m_agents.Take(Node(1), Report(50), At(0));
     CPPUNIT_ASSERT(m_agents.Take(Node(1), second, At(0)) == ReportOutcome::kNew);
     CPPUNIT_ASSERT(m_agents.Take(Node(1), Report(51), At(0)) == ReportOutcome::kLate);
@@ -71,7 +71,7 @@
   void TheStateOfAnEndpointSurvivesItsAgentsRestart() {
     m_agents.Take(Node(1), Report(50), At(0));
     AgentReport restarted = Report(1, 0, EndpointStanding::kUnknown);
-    restarted.life = base::Incarnation(3);
+    restarted.incarnation = base::Incarnation(3);
     restarted.wants_memory = true;
     m_agents.Take(Node(1), restarted, At(500));
     const KnownAgent* agent = m_agents.Find(Node(1));
@@ -119,14 +119,14 @@
     CPPUNIT_ASSERT(agent.heard_at == At(500));
   }
 
-  void ANoticeThatIsLateOrOfAnotherLifeIsIgnored() {
+  void ANoticeThatIsLateOrOfAnotherIncarnationIsIgnored() {
     CPPUNIT_ASSERT(!m_agents.TakeLoad(Node(1), MakeLoadNotice(Report(6, 3)), At(0)));
     m_agents.NoteListed({Node(2), testing::orders_service}, At(0));
     CPPUNIT_ASSERT(!m_agents.TakeLoad(Node(2), MakeLoadNotice(Report(6, 3)), At(0)));
     m_agents.Take(Node(1), Report(6), At(0));
     CPPUNIT_ASSERT(!m_agents.TakeLoad(Node(1), MakeLoadNotice(Report(6, 3)), At(0)));
     AgentReport other = Report(9, 3);
-    other.life = base::Incarnation(8);
+    other.incarnation = base::Incarnation(8);
     CPPUNIT_ASSERT(!m_agents.TakeLoad(Node(1), MakeLoadNotice(other), At(0)));
     CPPUNIT_ASSERT_EQUAL(0U, m_agents.Find(Node(1))->report.load.busy);
   }
@@ -296,7 +296,7 @@
     report.period = milliseconds(575);
     const auto read = DecodeNodeMessage(BytesOf(EncodeNodeMessage(report)), kNodePort);
     const AgentReport& result = std::get<AgentReport>(*read);
-    CPPUNIT_ASSERT(result.life == report.life && result.sequence == report.sequence);
+    CPPUNIT_ASSERT(result.incarnation == report.incarnation && result.sequence == report.sequence);
     CPPUNIT_ASSERT(result.standing == report.standing && result.wants_memory);
     CPPUNIT_ASSERT(report.endpoint == result.endpoint);
     CPPUNIT_ASSERT_EQUAL(report.zone, result.zone);
@@ -309,7 +309,7 @@
 
   void GreetingsRoundTrip() {
     BalancerGreeting greeting;
-    greeting.life = base::Incarnation(8);
+    greeting.incarnation = base::Incarnation(8);
     greeting.routes_version = 6;
     greeting.balancers = {{Node(2), milliseconds(30)}};
     greeting.agents = {{Node(3), testing::drawings_service}};
--- a/libs/placement/tests/outlier_detector_test.cpp
+++ b/libs/placement/tests/outlier_detector_test.cpp
@@ -283,7 +283,7 @@
 
   void MakeAgent(bool ejects) {
     AgentCoreSettings settings;
-    settings.life = base::Incarnation(9);
+    settings.incarnation = base::Incarnation(9);
     settings.service = testing::orders_service;
     settings.ejects_failing = ejects;
     m_agent.emplace(settings);
--- a/libs/placement/tests/placement_fixture.h
+++ b/libs/placement/tests/placement_fixture.h
@@ -49,7 +49,7 @@
 inline AgentReport Report(std::uint64_t sequence, std::uint32_t busy = 0,
                           EndpointStanding standing = EndpointStanding::kAdmitting) {
   AgentReport report;
-  report.life = base::Incarnation(7);
+  report.incarnation = base::Incarnation(7);
   report.sequence = sequence;
   report.service = orders_service;
   report.zone = "east";
--- a/proofs/dissemination/src/control_simulation.cpp
+++ b/proofs/dissemination/src/control_simulation.cpp
@@ -126,12 +126,12 @@
     std::ostringstream text;
     text << "not settled after the faults: newest is " << newest_ << ", active revisions";
     for (std::size_t node = 0; node < kBalancers; ++node) {
-      text << ' ' << nodes_.Life(node).Core().Settings().Active().revision;
+      text << ' ' << nodes_.Process(node).Core().Settings().Active().revision;
     }
     for (std::size_t service = 0; service < kServices; ++service) {
       text << ", tables of " << HollowDeployment::ServiceName(service);
       for (std::size_t node = 0; node < kNodes; ++node) {
-        const auto table = nodes_.Life(node).Core().TableOf(ServiceAt(service));
+        const auto table = nodes_.Process(node).Core().TableOf(ServiceAt(service));
         text << ' ' << (table == nullptr ? routing::TableVersion() : table->version);
       }
     }
@@ -156,10 +156,10 @@
 }
 
 void ControlSimulation::CheckNode(std::size_t node) {
-  const control::ControlNode& core = nodes_.Life(node).Core();
+  const control::ControlNode& core = nodes_.Process(node).Core();
   ObservedState& seen = seen_[node];
-  if (seen.life != core.Options().metadata.life) {
-    seen = {core.Options().metadata.life, {}, {}};
+  if (seen.process_incarnation != core.Options().metadata.process_incarnation) {
+    seen = {core.Options().metadata.process_incarnation, {}, {}};
   }
   CheckTables(node, seen);
   if (node < kBalancers) {
@@ -188,7 +188,7 @@
 void ControlSimulation::CheckTables(std::size_t node, ObservedState& seen) {
   for (std::size_t service = 0; service < kServices; ++service) {
     const base::ServiceId id = ServiceAt(service);
-    const auto table = nodes_.Life(node).Core().TableOf(id);
+    const auto table = nodes_.Process(node).Core().TableOf(id);
     if (table == nullptr) {
       continue;
     }
--- a/proofs/dissemination/src/control_simulation.h
+++ b/proofs/dissemination/src/control_simulation.h
@@ -59,7 +59,7 @@
  private:
   // What a process of a node had at the last check.
   struct ObservedState {
-    base::Incarnation life;
+    base::Incarnation process_incarnation;
     base::Revision revision;
     std::map<base::ServiceId, routing::TableVersion> tables;
   };
--- a/proofs/membership/src/membership_simulation.cpp
+++ b/proofs/membership/src/membership_simulation.cpp
@@ -74,7 +74,7 @@
   if (!IsRunning(member)) {
     return;
   }
-  membership::MembershipRunner& runner = group_->Life(member).Runner();
+  membership::MembershipRunner& runner = group_->Process(member).Runner();
   membership::MemberMetadata metadata = *runner.Core().Self().metadata;
   metadata.leaving = !metadata.leaving;
   runner.UpdateMetadata(metadata);
@@ -140,7 +140,7 @@
     if (simulator_.State(group_->Index(member)) == simulation::NodeState::kDead) {
       continue;
     }
-    const membership::Member& self = group_->Life(member).Core().Self();
+    const membership::Member& self = group_->Process(member).Core().Self();
     issued_[self.node] = std::max(issued_[self.node], self.incarnation);
   }
 }
@@ -148,7 +148,7 @@
 void MembershipSimulation::CheckViews() {
   for (std::size_t observer = 0; observer < kMembers; ++observer) {
     if (IsRunning(observer)) {
-      group_->Life(observer).Core().ForEach(
+      group_->Process(observer).Core().ForEach(
           [&](const membership::Member& seen) { CheckMember(observer, seen); });
     }
   }
@@ -159,14 +159,15 @@
     if (!IsRunning(member)) {
       continue;
     }
-    const membership_simulation::HollowMember& life = group_->Life(member);
-    const membership::Member& self = life.Core().Self();
-    BytesSent& sent = sent_[{member, self.metadata->life, self.node}];
-    if (!life.Core().IsJoined()) {
+    const membership_simulation::HollowMember& process = group_->Process(member);
+    const membership::Member& self = process.Core().Self();
+    BytesSent& sent = sent_[{member, self.metadata->process_incarnation, self.node}];
+    if (!process.Core().IsJoined()) {
       sent.clear();  // not joined yet, so the budget does not apply
       continue;
     }
-    const std::uint64_t bytes = life.Counters().Of(transport::MessageKind::kMembership).sent_bytes;
+    const std::uint64_t bytes =
+        process.Counters().Of(transport::MessageKind::kMembership).sent_bytes;
     sent.emplace_back(simulator_.Now(), bytes);
     while (simulator_.Now() - sent.front().first > kBudgetWindow) {
       sent.pop_front();
@@ -178,15 +179,17 @@
 }
 
 void MembershipSimulation::CheckMember(std::size_t observer, const membership::Member& seen) {
-  const base::Incarnation observer_life = group_->Life(observer).Core().Self().metadata->life;
-  const ObservedState now{seen.incarnation, seen.state, seen.metadata->life};
-  const auto [place, is_new] = observed_.try_emplace({observer, observer_life, seen.node}, now);
+  const base::Incarnation observer_incarnation =
+      group_->Process(observer).Core().Self().metadata->process_incarnation;
+  const ObservedState now{seen.incarnation, seen.state, seen.metadata->process_incarnation};
+  const auto [place, is_new] =
+      observed_.try_emplace({observer, observer_incarnation, seen.node}, now);
   const ObservedState before = std::exchange(place->second, now);
   if (!is_new &&
       std::tie(now.incarnation, now.state) < std::tie(before.incarnation, before.state)) {
     RecordViolation("a view went back to an older record", observer, seen);
   }
-  if (!is_new && now.life < before.life) {
+  if (!is_new && now.process_incarnation < before.process_incarnation) {
     RecordViolation("a view went back to an older process", observer, seen);
   }
   if (now.incarnation > issued_[seen.node]) {
@@ -202,7 +205,7 @@
   std::ostringstream text;
   text << rule << ": member " << observer << " sees node " << seen.node << " "
        << membership::MemberStateName(seen.state) << " at " << seen.incarnation
-       << ", process incarnation " << seen.metadata->life;
+       << ", process incarnation " << seen.metadata->process_incarnation;
   violation_ = text.str();
 }
 
--- a/proofs/membership/src/membership_simulation.h
+++ b/proofs/membership/src/membership_simulation.h
@@ -26,7 +26,7 @@
 
 // Checks these rules at regular intervals:
 // - what an observer knows of a member never gets older, neither the incarnation with its state nor
-//   the process incarnation (`life`);
+//   the process incarnation;
 // - it is never newer than what the member has announced;
 // - a joined member stays within its byte budget in every second.
 // After Heal() every view must become correct within kConvergenceLimit.
@@ -65,7 +65,7 @@
   struct ObservedState {
     base::Incarnation incarnation;
     membership::MemberState state = membership::MemberState::kAlive;
-    base::Incarnation life;
+    base::Incarnation process_incarnation;
   };
   // Total bytes sent by a member at the checks of the last second, oldest first.
   using BytesSent = std::deque<std::pair<base::TimePoint, std::uint64_t>>;
--- a/proofs/placement/src/placement_simulation.cpp
+++ b/proofs/placement/src/placement_simulation.cpp
@@ -76,7 +76,7 @@
 
 void PlacementSimulation::MakeAgent(std::size_t index) {
   placement::AgentCoreSettings settings;
-  settings.life = base::Incarnation(next_life_++);
+  settings.incarnation = base::Incarnation(next_incarnation_++);
   settings.service = agents_[index].endpoint.service;
   settings.announcement_period = kAnnouncementPeriod;
   settings.drain_limit = settings_.memory_limit;
--- a/proofs/placement/src/placement_simulation.h
+++ b/proofs/placement/src/placement_simulation.h
@@ -81,7 +81,7 @@
   struct Agent {
     std::unique_ptr<placement::AgentCore> core;
     Endpoint endpoint;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
   };
 
   enum class Hop : std::uint8_t { kToAgent, kToBalancer, kToEndpoint, kHolderNotice };
@@ -129,7 +129,7 @@
   std::vector<Datagram> network_;
   std::optional<std::size_t> paused_;  // balancer that receives no reports
   std::uint32_t next_sequence_ = 1'000'000;
-  std::uint64_t next_life_ = 1;
+  std::uint64_t next_incarnation_ = 1;
   std::optional<std::string> violation_;
   std::size_t flows_opened_ = 0;
   std::size_t searches_ended_ = 0;
--- a/proofs/routing/planner_fleet.cpp
+++ b/proofs/routing/planner_fleet.cpp
@@ -40,7 +40,7 @@
       encoder_mechanisms_(encoder_mechanisms),
       settings_(MakeSettings()) {
   for (std::size_t agent = 0; agent < kAgents; ++agent) {
-    agents_[agent] = MakeLife(base::Incarnation(1));
+    agents_[agent] = MakeAgent(base::Incarnation(1));
     routing::AgentStatus status;
     status.entry.node = NodeOf(agent);
     status.entry.incarnation = agents_[agent].incarnation;
@@ -54,7 +54,7 @@
   }
 }
 
-PlannerFleet::Agent PlannerFleet::MakeLife(base::Incarnation incarnation) const {
+PlannerFleet::Agent PlannerFleet::MakeAgent(base::Incarnation incarnation) const {
   Agent agent;
   agent.incarnation = incarnation;
   agent.entries.resize(kBuckets);
@@ -266,7 +266,7 @@
   Agent& leaver = agents_[agent % kAgents];
   const base::Incarnation last = leaver.incarnation;
   planner_->NoteGracefulLeave(NodeOf(agent % kAgents), last);
-  leaver = MakeLife(base::Incarnation(last.value() + 1));
+  leaver = MakeAgent(base::Incarnation(last.value() + 1));
   routing::AgentStatus& status = membership_view_[agent % kAgents];
   if (status.liveness != routing::AgentLiveness::kDead) {
     declared_dead_at_[agent % kAgents] = now_;
@@ -279,7 +279,7 @@
 void PlannerFleet::Restart(std::uint32_t agent) {
   Agent& restarted = agents_[agent % kAgents];
   const base::Incarnation next(restarted.incarnation.value() + 1);
-  restarted = MakeLife(next);
+  restarted = MakeAgent(next);
   membership_view_[agent % kAgents].entry.incarnation = next;
   // If it is declared dead, this incarnation counts from now.
   declared_dead_at_[agent % kAgents] = now_;
--- a/proofs/routing/planner_fleet.h
+++ b/proofs/routing/planner_fleet.h
@@ -98,7 +98,7 @@
   void MakePlanner();
   void UpdatePlannerAgents();
   routing::AgentReport MakeTrueReport(std::size_t agent, std::uint32_t busy) const;
-  Agent MakeLife(base::Incarnation incarnation) const;
+  Agent MakeAgent(base::Incarnation incarnation) const;
   void Send(std::size_t agent, routing::AgentReport report);
   void Answer(const SentReport& sent, routing::ReportOutcome outcome);
   void CheckPlannerFlowCounts(const SentReport& sent);
--- a/tools/lab/src/discovery_experiment.cpp
+++ b/tools/lab/src/discovery_experiment.cpp
@@ -141,12 +141,12 @@
     now_ = base::TimePoint(kAgentsAge);
     for (std::size_t index = 0; index < settings_.agents; ++index) {
       placement::AgentCoreSettings core;
-      core.life = base::Incarnation(random_.NextUint64());
+      core.incarnation = base::Incarnation(random_.NextUint64());
       core.service = ServiceOf(index);
       Agent agent;
       agent.core = std::make_unique<placement::AgentCore>(core);
       agent.reporter = std::make_unique<placement::AgentReporter>(AddressOf(kFirstAgent, index),
-                                                                  core.life, *agent.core);
+                                                                  core.incarnation, *agent.core);
       agent.core->Gate().Announce({.incarnation = {"endpoint"}, .capacity = 2, .sequence = 1},
                                   now_);
       greeting.agents = SomeAgents(placement::PeerAgentList::kLimit);
