--- a/libs/placement/include/gaugevalve/placement/agent_core.h
+++ b/libs/placement/include/gaugevalve/placement/agent_core.h
@@ -242,7 +242,7 @@
   template <std::predicate<const FlowRecord&> Condition>
   std::size_t EndFlows(Condition is_over, base::TimePoint now);
   static base::TimePoint StartTime(const EndpointIncarnation& incarnation, std::uint64_t unix_ms,
-                                   base::TimePoint last_heard, base::TimePoint now);
+                                   base::TimePoint last_contact, base::TimePoint now);
   void NoteHeldAddresses(base::TimePoint now);
   std::uint32_t Busy() const {
     return m_waiting + m_opening + static_cast<std::uint32_t>(m_queue.Size());
--- a/libs/placement/include/gaugevalve/placement/agent_directory.h
+++ b/libs/placement/include/gaugevalve/placement/agent_directory.h
@@ -24,11 +24,11 @@
   std::uint32_t zone = 0;  ///< ZoneHash() of its zone; known from listings before the first report
   /// Previous incarnation of the agent; its reports are stale.
   base::Incarnation previous_incarnation;
-  base::TimePoint heard_at{};
+  base::TimePoint updated_at{};           ///< last report, load notice or first listing
   base::TimePoint reported_at{};          ///< last full report, which names the endpoint
   bool is_only_listed = false;            ///< known from a listing only; no report received
   std::uint32_t placed_since_report = 0;  ///< opening packets sent to it since the last report
-  /// Time of the first opening packet sent to it since it was last heard.
+  /// Time of the first opening packet sent to it since `updated_at`.
   std::optional<base::TimePoint> unanswered_since;
   /// End of the pause in new flows after a cold endpoint reached its limit.
   base::TimePoint passed_over_until{};
@@ -81,7 +81,8 @@
   /// Shifts recorded times forward by `gap`, a span in which nothing could be received.
   void SkipTime(base::Duration gap);
 
-  /// Removes agents not heard for `silence`, or for longer if they announce a longer report period.
+  /// Removes agents not updated for `silence`, or for longer if they announce a longer report
+  /// period.
   /// @return  how many were removed
   std::size_t ForgetSilent(base::Duration silence, base::TimePoint now);
 
@@ -110,9 +111,9 @@
   /// Returns the number of present agents.
   std::size_t PresentCount() const;
 
-  /// Returns the number of agents that have been heard, as opposed to only listed. This includes
+  /// Returns the number of agents that have sent a report, as opposed to only listed. This includes
   /// agents that are stopping or have no endpoint, because other nodes may still count them.
-  std::size_t HeardCount() const;
+  std::size_t ReportedCount() const;
 
  private:
   template <std::predicate<const KnownAgent&> Condition>
--- a/libs/placement/include/gaugevalve/placement/agent_queries.h
+++ b/libs/placement/include/gaugevalve/placement/agent_queries.h
@@ -1,5 +1,5 @@
 /// @file
-/// Queries to agents that have not been heard, and which agents don't answer.
+/// Queries to agents from which nothing was received, and which agents don't answer.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -31,8 +31,8 @@
   /// @return  whether to query it now; otherwise TakeDue() returns it later
   bool Ask(const base::SocketAddress& agent, base::TimePoint now);
 
-  /// Records that the agent has been heard and stops querying it.
-  void NoteHeard(const base::SocketAddress& agent);
+  /// Records a message from the agent and stops querying it.
+  void NoteActivity(const base::SocketAddress& agent);
 
   /// Returns the agents to query now, for the first time or again. Call a few times a second.
   std::vector<base::SocketAddress> TakeDue(base::TimePoint now);
@@ -46,8 +46,8 @@
   /// Returns whether the agent has been given up.
   bool IsGivenUp(const base::SocketAddress& agent) const;
 
-  /// Return the number of agents that were queried and not heard, and how many of them were given
-  /// up.
+  /// Return the number of agents that were queried and sent nothing, and how many of them were
+  /// given up.
   std::size_t Count() const { return m_queries.size(); }
   std::size_t GivenUpCount() const { return m_given_up; }
 
@@ -68,7 +68,7 @@
 
   unsigned m_max_queries;
   std::size_t m_given_up = 0;
-  // By agent; agents that have been heard are removed.
+  // By agent; agents that have sent a message are removed.
   absl::flat_hash_map<base::SocketAddress, Query> m_queries;
   base::RateBudget m_budget{kQueriesPerPeriod, kBudgetPeriod};
 };
--- a/libs/placement/include/gaugevalve/placement/agent_report.h
+++ b/libs/placement/include/gaugevalve/placement/agent_report.h
@@ -30,7 +30,7 @@
   base::Duration warm_up_left{0};  ///< remaining warm-up time after its start
 };
 
-/// An agent that another node has heard, not necessarily recently.
+/// An agent from which another node has received a message, not necessarily recently.
 struct ListedAgent {
   base::SocketAddress address;
   base::ServiceId service;
@@ -50,9 +50,10 @@
   EndpointIncarnation endpoint;    ///< empty if unknown
   std::uint64_t announcement = 0;  ///< sequence number of the newest announcement accepted
   EndpointLoad load;
-  base::Duration period{0};   ///< time until the agent's next report
-  bool wants_memory = false;  ///< the agent has not heard its endpoint since the agent started
-  bool is_ejected = false;    ///< the endpoint fails requests and should get no new flows
+  base::Duration period{0};  ///< time until the agent's next report
+  bool wants_memory =
+      false;  ///< the agent has received nothing from its endpoint since the agent started
+  bool is_ejected = false;  ///< the endpoint fails requests and should get no new flows
   /// Agents of the deployment, as stated by balancers; 0 if not stated.
   std::size_t agent_count = 0;
   EvacuatedZones evacuated;          ///< as far as known to the agent
--- a/libs/placement/include/gaugevalve/placement/balancer_core.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_core.h
@@ -152,7 +152,7 @@
   AgentDirectory& Agents() { return m_agents; }
   AgentDiscovery& Discovery() { return m_discovery; }
 
-  /// Notes an agent that another node has heard.
+  /// Notes an agent that another node knows.
   /// @return  whether the agent is to be asked for a report now
   bool NoteListed(const ListedAgent& agent, base::TimePoint now);
 
--- a/libs/placement/include/gaugevalve/placement/balancer_gossip.h
+++ b/libs/placement/include/gaugevalve/placement/balancer_gossip.h
@@ -46,14 +46,14 @@
                                            const base::SocketAddress& sender, base::TimePoint now,
                                            bool& is_new);
 
-  /// Returns the greeting to an agent whose process has just been heard for the first time.
+  /// Returns the greeting to an agent whose process has just sent its first report.
   OutgoingGreeting GreetNewAgent(const KnownAgent& agent, base::TimePoint now);
 
-  /// Notes the agents that another agent named. @return  queries to those not heard yet
+  /// Notes the agents that another agent named. @return  queries to those that have not reported
   std::vector<OutgoingGreeting> OnNamedAgents(std::span<const ListedAgent> fellows,
                                               base::TimePoint now);
 
-  /// Notes the agents listed in the store. @return  queries to those not heard yet
+  /// Notes the agents listed in the store. @return  queries to those that have not reported
   std::vector<OutgoingGreeting> OnAgentListing(const AgentListing& listing, base::TimePoint now);
 
   /// Returns the agent listing to be written to the store.
@@ -85,7 +85,7 @@
   std::vector<OutgoingGreeting> AgentRound(base::TimePoint now);
   static constexpr base::Duration kAgentPeriod = std::chrono::seconds(1);
 
-  /// Removes balancers that no node has heard for a minute. Call a few times a second.
+  /// Removes balancers that no node had contact with for a minute. Call a few times a second.
   /// @return  queries to agents that have not answered yet, and notifications of a contact with the
   /// store
   std::vector<OutgoingGreeting> Tick(base::TimePoint now);
--- a/libs/placement/include/gaugevalve/placement/endpoint_gate.h
+++ b/libs/placement/include/gaugevalve/placement/endpoint_gate.h
@@ -14,7 +14,7 @@
 
 /// Whether an endpoint may be given new flows.
 enum class EndpointStanding : std::uint8_t {
-  kUnknown = 0,    ///< not heard since the agent started
+  kUnknown = 0,    ///< nothing received since the agent started
   kAdmitting = 1,  ///< ready for new flows
   kLeaving = 2,    ///< it has announced that it drains or ends
   kSilent = 3,     ///< it doesn't answer
@@ -62,14 +62,14 @@
 ///
 /// Announcements may arrive seconds late, so an announcement from another incarnation may come from
 /// a crashed predecessor or from the successor. Sequence numbers are not comparable across
-/// incarnations. An incarnation that was heard more than once, answers, and has not announced that
-/// it is leaving is replaced only by an incarnation that is heard again after more than one
-/// announcement period in which the current one was silent. Announcements of an incarnation that
-/// has announced that it is leaving, or that has been replaced, are no longer accepted. If both
-/// incarnations state their start times, the later start takes over at once, because two processes
-/// cannot listen at one address. The earlier start is accepted only when it is heard again after
-/// more than one period, because the clock may have been set back before that start. Two
-/// incarnations with the same identifier and the same start time in milliseconds are treated as
+/// incarnations. An incarnation that was announced more than once, answers, and has not announced
+/// that it is leaving is replaced only by an incarnation that is announced again after more than
+/// one announcement period in which the current one was silent. Announcements of an incarnation
+/// that has announced that it is leaving, or that has been replaced, are no longer accepted. If
+/// both incarnations state their start times, the later start takes over at once, because two
+/// processes cannot listen at one address. The earlier start is accepted only when it is announced
+/// again after more than one period, because the clock may have been set back before that start.
+/// Two incarnations with the same identifier and the same start time in milliseconds are treated as
 /// one. Not thread-safe.
 class EndpointGate {
  public:
@@ -84,7 +84,8 @@
   /// @param incarnation  if it has no start time, the current incarnation with this identifier
   void Deregister(const EndpointIncarnation& incarnation, base::TimePoint now);
 
-  /// Restores the state that a balancer remembers. Ignored once the endpoint itself has been heard.
+  /// Restores the state that a balancer remembers. Ignored once the endpoint itself has sent
+  /// anything.
   /// @param announcement  its sequence number is that of the announcement that the memory is based
   ///                      on
   void Remember(const Announcement& announcement, EndpointStanding standing, base::TimePoint now);
@@ -105,19 +106,19 @@
   EndpointStanding Standing(base::TimePoint now) const;
 
   /// Returns whether the endpoint has announced that it is leaving, or refused the last health
-  /// check and has not been heard since.
+  /// check and has not announced itself since.
   bool HasEnded() const { return (m_is_known && m_is_leaving) || m_is_refused; }
 
   /// Returns whether the endpoint is or may be cold: it is unknown, it was unresponsive since it
-  /// was last heard, or another incarnation may have replaced it.
+  /// last sent anything, or another incarnation may have replaced it.
   bool MayBeCold(base::TimePoint now) const;
   /// Returns whether balancers may rely on this state: the endpoint itself has announced that it is
   /// leaving, or has announced more than once that it is ready.
   bool IsConfirmed() const { return m_is_first_hand && (m_is_repeated || m_is_leaving); }
   const Announcement& Newest() const { return m_current; }
 
-  /// Returns when the endpoint was last heard, or when its state was restored from memory.
-  base::TimePoint HeardAt() const { return m_heard_at; }
+  /// Returns when the endpoint last sent anything, or when its state was restored from memory.
+  base::TimePoint LastContactAt() const { return m_last_contact_at; }
 
   /// Returns the remaining warm-up time after the endpoint's start.
   base::Duration WarmUpLeft(base::TimePoint now) const;
@@ -144,17 +145,16 @@
   EndpointIncarnation m_predecessor;  // of the current incarnation, until that one is confirmed
   EndpointIncarnation m_successor;    // announced but not confirmed; empty if none
   std::uint64_t m_successor_sequence = 0;
-  // Time of the first announcement since the current incarnation was last heard.
+  // Time of the first announcement since the current incarnation last sent anything.
   base::TimePoint m_successor_at{};
-  base::TimePoint m_first_heard_at{};  // first announcement of the current incarnation
-  base::TimePoint m_heard_at{};
+  base::TimePoint m_first_announced_at{};  // first announcement of the current incarnation
+  base::TimePoint m_last_contact_at{};
   // First opening not followed by any packet from the endpoint.
   std::optional<base::TimePoint> m_unanswered_since;
   bool m_is_absent = false;
-  bool m_is_refused = false;  // the last health check was refused and the endpoint not heard since
-  bool m_was_unresponsive =
-      false;  // it was unresponsive since it was last heard, and answers again
-  // Last passed health check, used until the endpoint itself is heard.
+  bool m_is_refused = false;        // refused the last health check; no announcement since
+  bool m_was_unresponsive = false;  // it was unresponsive since the last contact, and answers again
+  // Last passed health check, used until the endpoint itself sends anything.
   std::optional<base::TimePoint> m_healthy_at;
   std::optional<base::TimePoint> m_probed_at;
 };
--- a/libs/placement/include/gaugevalve/placement/peer_agent_list.h
+++ b/libs/placement/include/gaugevalve/placement/peer_agent_list.h
@@ -21,7 +21,7 @@
   /// @param self  address that is never listed
   explicit PeerAgentList(const base::SocketAddress& self) : m_self(self) {}
 
-  /// Adds agents that a balancer has heard. When the list is full, they replace the entries that
+  /// Adds agents that a balancer knows. When the list is full, they replace the entries that
   /// have not been named for longest.
   void Take(std::span<const ListedAgent> agents);
 
--- a/libs/placement/include/gaugevalve/placement/store_reader_role.h
+++ b/libs/placement/include/gaugevalve/placement/store_reader_role.h
@@ -34,11 +34,13 @@
                   base::RandomSource& random, base::TimePoint now);
 
   /// Notes that the store has just returned or confirmed its newest configuration.
-  void NoteContact(base::TimePoint now) { NoteHeard(now); }
+  void NoteContact(base::TimePoint now) { UpdateLastContact(now); }
 
   /// Notes a greeting from a peer that knows no newer configuration than this balancer, and whose
   /// last known contact with the store was `age` old when it sent the greeting.
-  void NotePeer(base::Duration age, base::TimePoint now) { NoteHeard(now - age - kHopAllowance); }
+  void NotePeer(base::Duration age, base::TimePoint now) {
+    UpdateLastContact(now - age - kHopAllowance);
+  }
 
   /// Added to the age for each greeting's transit, though most take a few milliseconds. If it were
   /// less than the time that a greeting waits on a busy machine, the age of a contact that
@@ -65,13 +67,13 @@
   base::Duration WatchTimeout() const;
 
  private:
-  void NoteHeard(base::TimePoint heard_at);
+  void UpdateLastContact(base::TimePoint contact_at);
 
   base::SocketAddress m_self;
   StoreReaderSettings m_settings;
   base::RandomSource& m_random;
   base::TimePoint m_started_at;
-  std::optional<base::TimePoint> m_heard_at;
+  std::optional<base::TimePoint> m_last_contact_at;
   std::optional<base::TimePoint>
       m_last_gossiped_contact;                    // the contact that was last gossiped to peers
   std::optional<base::TimePoint> m_take_over_at;  // set while the last contact is too old
--- a/libs/placement/src/agent_directory.cpp
+++ b/libs/placement/src/agent_directory.cpp
@@ -31,7 +31,7 @@
   agent.zone = ZoneHash(report.zone);
   agent.report = report;
   agent.report.fellows.clear();  // they are added to the directory separately
-  agent.heard_at = now;
+  agent.updated_at = now;
   agent.reported_at = now;
   agent.is_only_listed = false;
   agent.unanswered_since.reset();
@@ -81,13 +81,13 @@
   agent->report.sequence += static_cast<std::uint32_t>(notice.sequence) -
                             static_cast<std::uint32_t>(agent->report.sequence);
   agent->report.load.warm_up_left =
-      std::max(base::Duration(0), agent->report.load.warm_up_left - (now - agent->heard_at));
+      std::max(base::Duration(0), agent->report.load.warm_up_left - (now - agent->updated_at));
   agent->report.load.busy = notice.busy;
   agent->report.load.queued = notice.queued;
   agent->report.load.busy_average = notice.busy_average;
   agent->report.load.open_flows = notice.open_flows;
   agent->report.load.answer_time = notice.answer_time;
-  agent->heard_at = now;
+  agent->updated_at = now;
   agent->placed_since_report = 0;
   agent->placed_share *= kPlacedShareDecay;
   agent->unanswered_since.reset();
@@ -102,7 +102,7 @@
   agent.address = listed.address;
   agent.zone = listed.zone;
   agent.report.service = listed.service;
-  agent.heard_at = now;
+  agent.updated_at = now;
   agent.is_only_listed = true;
 }
 
@@ -127,12 +127,12 @@
 bool AgentDirectory::IsFresh(const KnownAgent& agent, base::TimePoint now) const {
   const bool is_unanswered = agent.unanswered_since && now - *agent.unanswered_since > kAnswerLimit;
   return !agent.is_only_listed && !is_unanswered &&
-         now - agent.heard_at <= SilenceLimit(agent, m_fresh_for);
+         now - agent.updated_at <= SilenceLimit(agent, m_fresh_for);
 }
 
 void AgentDirectory::SkipTime(base::Duration gap) {
   for (auto& [address, agent] : m_agents) {
-    agent.heard_at += gap;
+    agent.updated_at += gap;
     agent.reported_at += gap;
     if (agent.unanswered_since) {
       *agent.unanswered_since += gap;
@@ -142,7 +142,7 @@
 
 std::size_t AgentDirectory::ForgetSilent(base::Duration silence, base::TimePoint now) {
   return absl::erase_if(m_agents, [&](const auto& entry) {
-    return now - entry.second.heard_at > SilenceLimit(entry.second, silence);
+    return now - entry.second.updated_at > SilenceLimit(entry.second, silence);
   });
 }
 
@@ -186,7 +186,7 @@
       m_agents.begin(), m_agents.end(), [](const auto& entry) { return IsPresent(entry.second); }));
 }
 
-std::size_t AgentDirectory::HeardCount() const {
+std::size_t AgentDirectory::ReportedCount() const {
   return static_cast<std::size_t>(
       std::count_if(m_agents.begin(), m_agents.end(),
                     [](const auto& entry) { return !entry.second.is_only_listed; }));
--- a/libs/placement/src/agent_endpoint_incarnation.cpp
+++ b/libs/placement/src/agent_endpoint_incarnation.cpp
@@ -36,7 +36,7 @@
 AnnouncementResult AgentCore::OnAnnouncement(const Announcement& announcement,
                                              std::uint64_t unix_ms, base::TimePoint now) {
   const EndpointIncarnation before = m_gate.Newest().incarnation;
-  const base::TimePoint last_heard = m_gate.HeardAt();
+  const base::TimePoint last_contact = m_gate.LastContactAt();
   AnnouncementResult result;
   result.outcome = m_gate.Announce(announcement, now);
   const EndpointIncarnation& present = m_gate.Newest().incarnation;
@@ -44,7 +44,7 @@
       result.outcome == AnnouncementOutcome::kTaken && present.StartedAfter(before);
   if (result.is_successor) {
     const base::TimePoint started =
-        std::max(last_heard, StartTime(present, unix_ms, last_heard, now));
+        std::max(last_contact, StartTime(present, unix_ms, last_contact, now));
     result.dead_flows =
         EndFlows([started](const FlowRecord& record) { return record.held_at < started; }, now);
   }
@@ -53,16 +53,16 @@
 
 // Returns when the endpoint started, on the clock that this machine shares with it. The time of day
 // may have been set since then, so an impossible start time is ignored; the time at which the
-// previous incarnation was last heard is then used.
+// previous incarnation last sent anything is then used.
 base::TimePoint AgentCore::StartTime(const EndpointIncarnation& incarnation, std::uint64_t unix_ms,
-                                     base::TimePoint last_heard, base::TimePoint now) {
+                                     base::TimePoint last_contact, base::TimePoint now) {
   const bool is_past = incarnation.started_ms <= unix_ms;
   const auto age_ms = static_cast<std::int64_t>(is_past ? unix_ms - incarnation.started_ms : 0);
-  const base::Duration since_heard = now - last_heard;
+  const base::Duration since_contact = now - last_contact;
   const bool is_possible =
       is_past &&
-      age_ms <= std::chrono::duration_cast<std::chrono::milliseconds>(since_heard).count();
-  return is_possible ? now - std::chrono::milliseconds(age_ms) : last_heard;
+      age_ms <= std::chrono::duration_cast<std::chrono::milliseconds>(since_contact).count();
+  return is_possible ? now - std::chrono::milliseconds(age_ms) : last_contact;
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/agent_queries.cpp
+++ b/libs/placement/src/agent_queries.cpp
@@ -35,7 +35,7 @@
   return true;
 }
 
-void AgentQueries::NoteHeard(const base::SocketAddress& agent) {
+void AgentQueries::NoteActivity(const base::SocketAddress& agent) {
   const auto found = m_queries.find(agent);
   if (found == m_queries.end()) {
     return;
--- a/libs/placement/src/balancer_core.cpp
+++ b/libs/placement/src/balancer_core.cpp
@@ -173,7 +173,7 @@
   const bool is_unreachable = m_suspects.IsGivenUp(agent.address) ||
                               (agent.is_only_listed && m_discovery.IsGivenUp(agent.address));
   return agent.report.standing != EndpointStanding::kAbsent && !is_unreachable &&
-         now - agent.heard_at <= AgentDirectory::SilenceLimit(agent, m_settings.silence_limit);
+         now - agent.updated_at <= AgentDirectory::SilenceLimit(agent, m_settings.silence_limit);
 }
 
 bool BalancerCore::IsGone(const base::SocketAddress& agent, base::TimePoint now) {
@@ -186,9 +186,9 @@
   return m_agents.IsFresh(agent, now) && !m_suspects.IsOverdue(agent.address, now);
 }
 
-// Queues a report query to the agent unless it was heard after `since`.
+// Queues a report query to the agent unless it was updated after `since`.
 void BalancerCore::Suspect(const KnownAgent& agent, base::TimePoint since, base::TimePoint now) {
-  const bool is_silent = !agent.is_only_listed && agent.heard_at <= since;
+  const bool is_silent = !agent.is_only_listed && agent.updated_at <= since;
   if (is_silent && m_suspects.Ask(agent.address, now)) {
     m_new_suspects.push_back(agent.address);
   }
@@ -258,7 +258,7 @@
 
 void BalancerCore::OnLoad(const base::SocketAddress& address, const LoadNotice& notice,
                           base::TimePoint now) {
-  m_suspects.NoteHeard(address);
+  m_suspects.NoteActivity(address);
   m_agents.TakeLoad(address, notice, now);
 }
 
@@ -275,8 +275,8 @@
 ReportOutcome BalancerCore::OnReport(const base::SocketAddress& address, const AgentReport& report,
                                      base::TimePoint now) {
   DetectPause(now);
-  m_discovery.NoteHeard(address);
-  m_suspects.NoteHeard(address);
+  m_discovery.NoteReport(address);
+  m_suspects.NoteActivity(address);
   m_discovery.NoteAgentCount(report.agent_count);
   const ReportOutcome outcome = m_agents.Take(address, report, now);
   QueueFlowsOfDeadIncarnations(address);
@@ -300,7 +300,7 @@
   const base::Duration limit =
       m_discovery.IsWaiting() ? m_settings.silence_limit : kUnnamedAgentsTimeout;
   const bool may_miss_some =
-      m_discovery.HasCount() && age < limit && !m_discovery.IsComplete(m_agents.HeardCount());
+      m_discovery.HasCount() && age < limit && !m_discovery.IsComplete(m_agents.ReportedCount());
   m_has_learned = age >= m_settings.learning_time && !may_miss_some;
   return !m_has_learned;
 }
--- a/libs/placement/src/balancer_gossip.cpp
+++ b/libs/placement/src/balancer_gossip.cpp
@@ -131,8 +131,8 @@
 
 OutgoingGreeting BalancerGossip::GreetNewAgent(const KnownAgent& agent, base::TimePoint now) {
   OutgoingGreeting welcome{agent.address, GreetingForAgent(agent, now)};
-  const bool asks =
-      m_core.IsLearning(now) && m_core.Discovery().TakePeerListQuery(m_core.Agents().HeardCount());
+  const bool asks = m_core.IsLearning(now) &&
+                    m_core.Discovery().TakePeerListQuery(m_core.Agents().ReportedCount());
   welcome.greeting.wants_answer = asks;
   welcome.greeting.wants_fellows = asks;
   if (agent.report.wants_memory && agent.memory) {
@@ -226,7 +226,8 @@
   for (const base::SocketAddress& agent : m_core.Discovery().TakeDueQueries(now)) {
     greetings.push_back(AskAgent(agent, now));
   }
-  if (m_core.IsLearning(now) && m_core.Discovery().HasUnnamedAgents(m_core.Agents().HeardCount())) {
+  if (m_core.IsLearning(now) &&
+      m_core.Discovery().HasUnnamedAgents(m_core.Agents().ReportedCount())) {
     for (const ListedAgent& agent : Sample(ListAgents(), kAgentsRequeriedPerTick, m_random)) {
       greetings.push_back({agent.address, GreetingWithoutLists(true, now)});
       greetings.back().greeting.wants_fellows = true;
--- a/libs/placement/src/balancer_list.cpp
+++ b/libs/placement/src/balancer_list.cpp
@@ -11,7 +11,8 @@
 }  // namespace
 
 base::Duration BalancerList::AliveTimeout() const {
-  return std::max(m_alive_timeout, kAliveTimePerBalancer * static_cast<int>(m_heard_at.size()));
+  return std::max(m_alive_timeout,
+                  kAliveTimePerBalancer * static_cast<int>(m_last_contact_at.size()));
 }
 
 bool BalancerList::Note(const base::SocketAddress& address, base::Duration age,
@@ -19,10 +20,10 @@
   if (address == m_self) {
     return false;
   }
-  const base::TimePoint heard_at = now - age;
-  const auto [entry, is_new] = m_heard_at.try_emplace(address, heard_at);
+  const base::TimePoint contact_at = now - age;
+  const auto [entry, is_new] = m_last_contact_at.try_emplace(address, contact_at);
   const bool was_alive = !is_new && now - entry->second <= AliveTimeout();
-  entry->second = std::max(entry->second, heard_at);
+  entry->second = std::max(entry->second, contact_at);
   return !was_alive && age <= AliveTimeout();
 }
 
@@ -30,15 +31,15 @@
                                                        base::TimePoint now) const {
   std::vector<base::SocketAddress> targets;
   std::size_t alive = 0;
-  for (const auto& [address, heard_at] : m_heard_at) {
+  for (const auto& [address, contact_at] : m_last_contact_at) {
     targets.push_back(address);
-    alive += now - heard_at <= AliveTimeout() ? 1 : 0;
+    alive += now - contact_at <= AliveTimeout() ? 1 : 0;
   }
   if (alive >= enough) {
     return targets;
   }
   for (const base::SocketAddress& seed : m_seeds) {
-    const bool is_listed = m_heard_at.contains(seed);
+    const bool is_listed = m_last_contact_at.contains(seed);
     if (!is_listed && seed != m_self) {
       targets.push_back(seed);
     }
@@ -48,8 +49,8 @@
 
 std::vector<BalancerAge> BalancerList::Alive(base::TimePoint now) const {
   std::vector<BalancerAge> alive;
-  for (const auto& [address, heard_at] : m_heard_at) {
-    const base::Duration age = now - heard_at;
+  for (const auto& [address, contact_at] : m_last_contact_at) {
+    const base::Duration age = now - contact_at;
     if (age <= AliveTimeout()) {
       alive.push_back({address, age});
     }
@@ -58,7 +59,7 @@
 }
 
 void BalancerList::ForgetSilent(base::Duration silence, base::TimePoint now) {
-  std::erase_if(m_heard_at, [&](const auto& entry) { return now - entry.second > silence; });
+  std::erase_if(m_last_contact_at, [&](const auto& entry) { return now - entry.second > silence; });
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/balancer_placement.cpp
+++ b/libs/placement/src/balancer_placement.cpp
@@ -97,8 +97,8 @@
 // search finds.
 bool BalancerCore::IsOpeningLost(const KnownAgent& agent, const FlowRecord& record,
                                  base::TimePoint now) {
-  const bool is_unheard = agent.unanswered_since && *agent.unanswered_since <= record.held_since;
-  return is_unheard && record.must_accept_attempts == 0 &&
+  const bool is_unanswered = agent.unanswered_since && *agent.unanswered_since <= record.held_since;
+  return is_unanswered && record.must_accept_attempts == 0 &&
          now - record.held_since >= kMinRetransmitDelay;
 }
 
@@ -142,7 +142,7 @@
       (IsResponsive(*agent, now) ? fresh : stale).push_back(agent);
     }
   }
-  // The few agents that are heard first can't carry the load of all, so a learning balancer also
+  // The few agents that report first can't carry the load of all, so a learning balancer also
   // uses agents that other nodes named. An agent whose endpoint admits no flows returns the
   // opening. During an evacuation they are not used: their zones are unknown here, and an agent
   // that has just started may not know yet that its zone is evacuated.
--- a/libs/placement/src/balancer_search.cpp
+++ b/libs/placement/src/balancer_search.cpp
@@ -81,12 +81,12 @@
 // Orders agents for a search. The flow's preferred agents come first, because one of them most
 // likely holds the flow; agents of the own zone precede others of the same tier. The other agents
 // follow. Within both groups, agents of other services come late and unresponsive ones last. After
-// a lost search, agents heard since it began come first, because it may have ended at any of the
+// a lost search, agents updated since it began come first, because it may have ended at any of the
 // others, and the order within a zone changes.
 void BalancerCore::OrderForSearch(std::vector<KnownAgent*>& agents, const Route& route,
                                   const FlowPacket& packet, const FlowRecord& record,
                                   base::TimePoint now) const {
-  enum Rank : std::uint8_t { kHeardSince, kUsual, kOtherService, kSilent };
+  enum Rank : std::uint8_t { kUpdatedSince, kUsual, kOtherService, kSilent };
   struct Place {
     bool is_later_tier;
     Rank rank;
@@ -101,7 +101,7 @@
   places.reserve(agents.size());
   for (const RankedAgent& ranked : RankForFlow(FlowHash(packet.flow), agents)) {
     KnownAgent& agent = *ranked.agent;
-    const Rank usual = agent.heard_at > record.searched_at ? kHeardSince : kUsual;
+    const Rank usual = agent.updated_at > record.searched_at ? kUpdatedSince : kUsual;
     const bool is_of_route = Contains(services, agent.report.service);
     const Rank rank = !IsResponsive(agent, now) ? kSilent : is_of_route ? usual : kOtherService;
     places.push_back({ranked.tier > 0 || !is_of_route, rank, ranked.tier, agent.zone != own_zone,
@@ -166,7 +166,7 @@
                                                 base::TimePoint now) {
   DetectPause(now);
   m_agents.NoteActivity(agent);
-  m_suspects.NoteHeard(agent);
+  m_suspects.NoteActivity(agent);
   const Route* route = m_routes.Find(packet.flow.destination);
   if (route == nullptr) {
     return Drop(BalancerReason::kNoRoute);
@@ -236,7 +236,7 @@
                                   base::ServiceId service, base::TimePoint now) {
   DetectPause(now);
   m_agents.NoteActivity(agent);
-  m_suspects.NoteHeard(agent);
+  m_suspects.NoteActivity(agent);
   FlowRecord& record = *FindOrAddRecord(flow);
   const bool has_changed_holder = record.agent != agent || !record.refused.empty();
   record.held_since = record.agent == agent ? record.held_since : now;
--- a/libs/placement/src/endpoint_chooser.cpp
+++ b/libs/placement/src/endpoint_chooser.cpp
@@ -55,7 +55,7 @@
   const EndpointLoad& load = agent.report.load;
   const double present = load.busy * kCurrentWeight + load.busy_average * (1 - kCurrentWeight);
   double requests = present + agent.placed_since_report + kIdleFlowWeight * load.open_flows + 1;
-  if (load.warm_up_left > now - agent.heard_at) {
+  if (load.warm_up_left > now - agent.updated_at) {
     requests *= kColdFactor;
   }
   requests *= SlowdownFactor(agent, typical_answer_time);
--- a/libs/placement/src/endpoint_gate.cpp
+++ b/libs/placement/src/endpoint_gate.cpp
@@ -98,17 +98,18 @@
     NoteEnded(m_current.incarnation);
     return true;
   }
-  const bool is_heard_again = m_successor == other && announcement.sequence > m_successor_sequence;
+  const bool is_announced_again =
+      m_successor == other && announcement.sequence > m_successor_sequence;
   if (announcement.is_draining) {
     // If this replacement is wrong, the next announcement of the current incarnation opens the gate
     // again.
-    return m_is_leaving || is_heard_again;
+    return m_is_leaving || is_announced_again;
   }
   const bool may_have_gone = m_is_leaving || !m_is_repeated || m_is_absent || IsUnresponsive(now);
   if (may_have_gone && !IsEarlierIncarnation(other)) {
     return true;
   }
-  if (is_heard_again && now - m_successor_at > ConfirmationTime()) {
+  if (is_announced_again && now - m_successor_at > ConfirmationTime()) {
     NoteEnded(m_current.incarnation);
     return true;
   }
@@ -149,8 +150,8 @@
   const bool is_same = IsPresent(announcement.incarnation);
   if (!is_same) {
     m_predecessor = m_is_known ? m_current.incarnation : EndpointIncarnation();
-    m_first_heard_at = now;
-  } else if (now - m_first_heard_at > ConfirmationTime()) {
+    m_first_announced_at = now;
+  } else if (now - m_first_announced_at > ConfirmationTime()) {
     NoteEnded(m_predecessor);
     m_predecessor = {};
   }
@@ -163,7 +164,7 @@
   m_is_known = true;
   m_is_first_hand = true;
   m_is_leaving = announcement.is_draining;
-  m_heard_at = now;
+  m_last_contact_at = now;
   m_unanswered_since.reset();
   m_is_absent = false;
   m_is_refused = false;
@@ -187,7 +188,7 @@
   m_is_known = true;
   m_is_first_hand = true;
   m_is_leaving = true;
-  m_heard_at = now;
+  m_last_contact_at = now;
   m_successor = {};
 }
 
@@ -209,7 +210,7 @@
     NoteEnded(announcement.incarnation);
   }
   m_is_known = true;
-  m_heard_at = now;
+  m_last_contact_at = now;
 }
 
 bool EndpointGate::TakeProbe(base::TimePoint now) {
@@ -261,14 +262,14 @@
     return EndpointStanding::kSilent;
   }
   const bool was_healthy = m_healthy_at && now - *m_healthy_at <= m_memory_limit;
-  const bool was_heard = m_is_known && now - m_heard_at <= m_memory_limit;
-  if (was_healthy || was_heard) {
+  const bool is_contact_recent = m_is_known && now - m_last_contact_at <= m_memory_limit;
+  if (was_healthy || is_contact_recent) {
     return EndpointStanding::kAdmitting;
   }
   if (!m_is_repeated) {
     return EndpointStanding::kUnknown;
   }
-  const bool is_missed = now - m_heard_at > m_period * kMaxMissedAnnouncements;
+  const bool is_missed = now - m_last_contact_at > m_period * kMaxMissedAnnouncements;
   return is_missed ? EndpointStanding::kSilent : EndpointStanding::kAdmitting;
 }
 
@@ -278,7 +279,7 @@
 }
 
 base::Duration EndpointGate::WarmUpLeft(base::TimePoint now) const {
-  return std::max(base::Duration(0), m_current.warm_up_left - (now - m_heard_at));
+  return std::max(base::Duration(0), m_current.warm_up_left - (now - m_last_contact_at));
 }
 
 }  // namespace gaugevalve::placement
--- a/libs/placement/src/store_reader_role.cpp
+++ b/libs/placement/src/store_reader_role.cpp
@@ -38,16 +38,17 @@
                                  base::RandomSource& random, base::TimePoint now)
     : m_self(self), m_settings(settings), m_random(random), m_started_at(now) {}
 
-void StoreReaderRole::NoteHeard(base::TimePoint heard_at) {
-  m_heard_at = m_heard_at ? std::max(*m_heard_at, heard_at) : heard_at;
+void StoreReaderRole::UpdateLastContact(base::TimePoint contact_at) {
+  m_last_contact_at = m_last_contact_at ? std::max(*m_last_contact_at, contact_at) : contact_at;
 }
 
 std::optional<base::Duration> StoreReaderRole::Age(base::TimePoint now) const {
-  return m_heard_at ? std::optional<base::Duration>(now - *m_heard_at) : std::nullopt;
+  return m_last_contact_at ? std::optional<base::Duration>(now - *m_last_contact_at) : std::nullopt;
 }
 
 bool StoreReaderRole::IsStale(base::TimePoint now) const {
-  return !m_heard_at || now - *m_heard_at > PercentOf(m_settings.change_limit, kStalePercent);
+  return !m_last_contact_at ||
+         now - *m_last_contact_at > PercentOf(m_settings.change_limit, kStalePercent);
 }
 
 base::Duration StoreReaderRole::WatchTimeout() const {
@@ -69,7 +70,7 @@
 bool StoreReaderRole::ShouldRead(std::span<const BalancerAge> others, base::TimePoint now) {
   const std::size_t balancers = others.size() + 1;
   if (balancers <= kReaders) {
-    return !m_heard_at || now - m_started_at >= kJoiningTime;
+    return !m_last_contact_at || now - m_started_at >= kJoiningTime;
   }
   if (!IsStale(now)) {
     m_take_over_at.reset();
@@ -79,7 +80,7 @@
   if (!m_take_over_at) {
     const base::Duration share = std::min(kTakeOverWindowPerBalancer * static_cast<int>(balancers),
                                           PercentOf(m_settings.change_limit, kTakeOverPercent));
-    m_take_over_at = now + (m_heard_at ? m_random.NextJitter(share) : base::Duration(0));
+    m_take_over_at = now + (m_last_contact_at ? m_random.NextJitter(share) : base::Duration(0));
   }
   return now >= *m_take_over_at;
 }
@@ -87,9 +88,10 @@
 bool StoreReaderRole::TakeContactUpdate() {
   const base::Duration step = PercentOf(m_settings.change_limit, kContactUpdatePercent);
   const bool has_changed_holder =
-      m_heard_at && (!m_last_gossiped_contact || *m_heard_at - *m_last_gossiped_contact >= step);
+      m_last_contact_at &&
+      (!m_last_gossiped_contact || *m_last_contact_at - *m_last_gossiped_contact >= step);
   if (has_changed_holder) {
-    m_last_gossiped_contact = m_heard_at;
+    m_last_gossiped_contact = m_last_contact_at;
   }
   return has_changed_holder;
 }
--- a/libs/placement/tests/agent_discovery_test.cpp
+++ b/libs/placement/tests/agent_discovery_test.cpp
@@ -68,7 +68,7 @@
 
   void AnAgentThatWasHeardIsAskedNoMore() {
     m_discovery.TakeNamed(Node(2), At(0));
-    m_discovery.NoteHeard(Node(2));
+    m_discovery.NoteReport(Node(2));
     CPPUNIT_ASSERT(m_discovery.TakeDueQueries(At(1000)).empty());
   }
 
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT(m_discovery.IsGivenUp(Node(2)));
     CPPUNIT_ASSERT(!m_discovery.TakeNamed(Node(2), At(5'000)));
     CPPUNIT_ASSERT(!m_discovery.TakeDueQueries(At(6'000)).empty());
-    m_discovery.NoteHeard(Node(2));
+    m_discovery.NoteReport(Node(2));
     CPPUNIT_ASSERT(!m_discovery.IsGivenUp(Node(2)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_discovery.UnreachableCount());
   }
--- a/libs/placement/tests/agent_queries_test.cpp
+++ b/libs/placement/tests/agent_queries_test.cpp
@@ -74,7 +74,7 @@
     queries.Ask(Node(1), At(0));
     queries.TakeDue(At(250));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queries.GivenUpCount());
-    queries.NoteHeard(Node(1));
+    queries.NoteActivity(Node(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, queries.GivenUpCount());
     CPPUNIT_ASSERT(queries.TakeDue(At(5'000)).empty());
   }
--- a/libs/placement/tests/node_knowledge_test.cpp
+++ b/libs/placement/tests/node_knowledge_test.cpp
@@ -116,7 +116,7 @@
     CPPUNIT_ASSERT(agent.report.load.warm_up_left == milliseconds(1500));
     CPPUNIT_ASSERT(agent.report.standing == EndpointStanding::kAdmitting);
     CPPUNIT_ASSERT(!agent.unanswered_since);
-    CPPUNIT_ASSERT(agent.heard_at == At(500));
+    CPPUNIT_ASSERT(agent.updated_at == At(500));
   }
 
   void ANoticeThatIsLateOrOfAnotherIncarnationIsIgnored() {
@@ -165,7 +165,7 @@
     KnownAgent agent;
     agent.address = Node(1);
     agent.report = Report(1, 2);
-    agent.heard_at = At(0);
+    agent.updated_at = At(0);
     const double usual = ExpectedLoad(agent, milliseconds(50), At(0));
     agent.report.load.answer_time = milliseconds(200);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(4 * usual, ExpectedLoad(agent, milliseconds(50), At(0)), 1e-9);
--- a/libs/requests/include/gaugevalve/requests/hand_over_executor.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_executor.h
@@ -67,7 +67,7 @@
     bool has_ended = false;    // the complete answer is in `answer`
     bool was_refused = false;  // refused as not run
     bool waits_for_room = false;
-    base::TimePoint heard_at{};
+    base::TimePoint last_message_at{};
     base::TimePoint heartbeat_at{};
   };
 
--- a/libs/requests/include/gaugevalve/requests/hand_over_origin.h
+++ b/libs/requests/include/gaugevalve/requests/hand_over_origin.h
@@ -85,7 +85,7 @@
     bool is_accepted = false;
     bool has_answer_begun = false;
     bool waits_for_room = false;
-    base::TimePoint heard_at{};
+    base::TimePoint last_message_at{};
     base::TimePoint offer_at{};  // time of the next offer, until it is accepted
     base::TimePoint heartbeat_at{};
   };
--- a/libs/requests/include/gaugevalve/requests/peer_loads.h
+++ b/libs/requests/include/gaugevalve/requests/peer_loads.h
@@ -78,8 +78,8 @@
     std::int64_t free_slots = 0;  // minus the hand-overs begun since the announcement
     std::int64_t queue_room = 0;
     bool takes_requests = false;
-    bool was_heard = false;
-    base::TimePoint heard_at{};
+    bool is_load_known = false;
+    base::TimePoint load_received_at{};
   };
 
   bool HasRoom(base::NodeId node, const Peer& peer, HandOverNeed need, base::TimePoint now) const;
--- a/libs/requests/src/hand_over_executor.cpp
+++ b/libs/requests/src/hand_over_executor.cpp
@@ -63,7 +63,7 @@
   if (run == nullptr) {
     OnUnknown(id, message, now, actions);
   } else {
-    run->heard_at = now;
+    run->last_message_at = now;
     HandleMessage(id, *run, message, now, actions);
   }
 }
@@ -107,7 +107,7 @@
   Run run{.body = FrameReceiver(limits_.mechanisms.check_sequence),
           .answer = FrameSender(kWindowFrames, limits_.resend_interval, limits_.heartbeat_interval),
           .deadline = now + time_left,
-          .heard_at = now,
+          .last_message_at = now,
           .heartbeat_at = now + limits_.heartbeat_interval};
   runs_.emplace(KeyOf(id), std::move(run));
   actions.executor.push_back({KeyOf(id), RunOffered{offer.head(), time_left}});
@@ -280,7 +280,7 @@
 void HandOverExecutor::OnTimer(base::TimePoint now, HandOverActions& actions) {
   std::vector<HandOverId> over;
   for (auto& [id, run] : runs_) {
-    if (now - run.heard_at >= limits_.peer_timeout) {
+    if (now - run.last_message_at >= limits_.peer_timeout) {
       over.push_back(id);
       continue;
     }
--- a/libs/requests/src/hand_over_origin.cpp
+++ b/libs/requests/src/hand_over_origin.cpp
@@ -72,7 +72,7 @@
   exchange.body.Rewind();
   exchange.answer = FrameReceiver(limits_.mechanisms.check_sequence);
   exchange.is_accepted = false;
-  exchange.heard_at = now;
+  exchange.last_message_at = now;
   exchange.heartbeat_at = now + limits_.heartbeat_interval;
   by_number_[exchange.id.number] = exchange.request.id;
   loads_.OnHandOverBegun(peer->node);
@@ -160,7 +160,7 @@
     }
     return;
   }
-  exchange->heard_at = now;
+  exchange->last_message_at = now;
   if (message.has_gone()) {
     OnExecutorLost(*exchange, now, actions);
   } else if (message.has_answer_frame()) {
@@ -307,7 +307,7 @@
       overdue.push_back(id);
       continue;
     }
-    if (now - exchange.heard_at >= limits_.peer_timeout) {
+    if (now - exchange.last_message_at >= limits_.peer_timeout) {
       silent.push_back(id);
       continue;
     }
--- a/libs/requests/src/peer_loads.cpp
+++ b/libs/requests/src/peer_loads.cpp
@@ -42,13 +42,13 @@
   peer.free_slots = load.free_slots();
   peer.queue_room = load.queue_room();
   peer.takes_requests = load.takes_requests();
-  peer.was_heard = true;
-  peer.heard_at = now;
+  peer.is_load_known = true;
+  peer.load_received_at = now;
 }
 
 bool PeerLoads::HasRoom(base::NodeId node, const Peer& peer, HandOverNeed need,
                         base::TimePoint now) const {
-  const bool is_known = peer.was_heard && now - peer.heard_at < limits_.max_load_age &&
+  const bool is_known = peer.is_load_known && now - peer.load_received_at < limits_.max_load_age &&
                         peer.announced_incarnation == peer.listed_incarnation;
   const bool is_within_bound =
       InFlight(node) < limits_.in_flight_per_peer || !limits_.mechanisms.bound_in_flight;
--- a/tools/lab/src/discovery_experiment.cpp
+++ b/tools/lab/src/discovery_experiment.cpp
@@ -333,7 +333,7 @@
   double CompleteShare() const {
     const auto complete =
         std::count_if(balancers_.begin(), balancers_.end(), [this](const Balancer& balancer) {
-          return balancer.core && balancer.core->Agents().HeardCount() == settings_.agents;
+          return balancer.core && balancer.core->Agents().ReportedCount() == settings_.agents;
         });
     return static_cast<double>(complete) / static_cast<double>(balancers_.size());
   }
