--- a/proofs/membership/src/membership_world.cpp
+++ b/proofs/membership/src/membership_simulation.cpp
@@ -1,4 +1,4 @@
-#include "membership_world.h"
+#include "membership_simulation.h"
 
 #include <algorithm>
 #include <sstream>
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-MembershipWorld::MembershipWorld(std::uint64_t seed, const membership::InjectedFaults& faults)
+MembershipSimulation::MembershipSimulation(std::uint64_t seed,
+                                           const membership::InjectedFaults& faults)
     : simulator_(seed, MakeNetwork()) {
   membership_simulation::HollowGroupSettings settings;
   settings.members = kMembers;
@@ -42,7 +43,7 @@
   UpdateIssuedIncarnations();
 }
 
-void MembershipWorld::Run(base::Duration duration) {
+void MembershipSimulation::Run(base::Duration duration) {
   const base::TimePoint end = simulator_.Now() + duration;
   while (simulator_.Now() < end) {
     simulator_.RunFor(std::min<base::Duration>(kCheckInterval, end - simulator_.Now()));
@@ -52,51 +53,51 @@
   }
 }
 
-void MembershipWorld::Kill(std::size_t member) { group_->Kill(member); }
+void MembershipSimulation::Kill(std::size_t member) { group_->Kill(member); }
 
-void MembershipWorld::Restart(std::size_t member) {
+void MembershipSimulation::Restart(std::size_t member) {
   ++totals_.restarts;
   group_->Restart(member);
 }
 
-void MembershipWorld::Freeze(std::size_t member) { simulator_.Freeze(group_->Index(member)); }
+void MembershipSimulation::Freeze(std::size_t member) { simulator_.Freeze(group_->Index(member)); }
 
-void MembershipWorld::Thaw(std::size_t member) { simulator_.Thaw(group_->Index(member)); }
+void MembershipSimulation::Thaw(std::size_t member) { simulator_.Thaw(group_->Index(member)); }
 
-void MembershipWorld::Leave(std::size_t member) {
+void MembershipSimulation::Leave(std::size_t member) {
   if (IsRunning(member)) {
     group_->Leave(member);
   }
 }
 
-void MembershipWorld::ToggleLeavingFlag(std::size_t member) {
+void MembershipSimulation::ToggleLeavingFlag(std::size_t member) {
   if (!IsRunning(member)) {
     return;
   }
-  membership::MembershipRunner& runner = group_->Life(member).Runner();
+  membership::MembershipRunner& runner = group_->Process(member).Runner();
   membership::MemberMetadata metadata = *runner.Core().Self().metadata;
   metadata.leaving = !metadata.leaving;
   runner.UpdateMetadata(metadata);
 }
 
-void MembershipWorld::Isolate(std::size_t member) {
+void MembershipSimulation::Isolate(std::size_t member) {
   simulator_.Network().IsolateNode(group_->Index(member));
 }
 
-void MembershipWorld::BlockOneWay(std::size_t from, std::size_t to) {
+void MembershipSimulation::BlockOneWay(std::size_t from, std::size_t to) {
   simulator_.Network().BlockNodes(group_->Index(from), group_->Index(to));
 }
 
-void MembershipWorld::SplitRegions() { simulator_.Network().BlockRegions("north", "south"); }
+void MembershipSimulation::SplitRegions() { simulator_.Network().BlockRegions("north", "south"); }
 
-void MembershipWorld::EndPartitions() { simulator_.Network().HealPartitions(); }
+void MembershipSimulation::EndPartitions() { simulator_.Network().HealPartitions(); }
 
-void MembershipWorld::SetMessageFaults(double probability) {
+void MembershipSimulation::SetMessageFaults(double probability) {
   simulator_.Network().SetFaults(
       {.loss = probability, .duplication = probability, .reordering = probability});
 }
 
-void MembershipWorld::Heal() {
+void MembershipSimulation::Heal() {
   EndPartitions();
   SetMessageFaults(0);
   for (std::size_t member = 0; member < kMembers; ++member) {
@@ -116,9 +117,9 @@
   }
 }
 
-bool MembershipWorld::IsRunning(std::size_t member) const { return group_->IsRunning(member); }
+bool MembershipSimulation::IsRunning(std::size_t member) const { return group_->IsRunning(member); }
 
-void MembershipWorld::OnEvent(const membership::MembershipEvent& event) {
+void MembershipSimulation::OnEvent(const membership::MembershipEvent& event) {
   switch (event.kind) {
     case membership::EventKind::kFailed:
       ++totals_.deaths_reported;
@@ -134,74 +135,77 @@
   }
 }
 
-void MembershipWorld::UpdateIssuedIncarnations() {
+void MembershipSimulation::UpdateIssuedIncarnations() {
   for (std::size_t member = 0; member < kMembers; ++member) {
     if (simulator_.State(group_->Index(member)) == simulation::NodeState::kDead) {
       continue;
     }
-    const membership::Member& self = group_->Life(member).Core().Self();
+    const membership::Member& self = group_->Process(member).Core().Self();
     issued_[self.node] = std::max(issued_[self.node], self.incarnation);
   }
 }
 
-void MembershipWorld::CheckViews() {
+void MembershipSimulation::CheckViews() {
   for (std::size_t observer = 0; observer < kMembers; ++observer) {
     if (IsRunning(observer)) {
-      group_->Life(observer).Core().ForEach(
+      group_->Process(observer).Core().ForEach(
           [&](const membership::Member& seen) { CheckMember(observer, seen); });
     }
   }
 }
 
-void MembershipWorld::CheckByteBudget() {
+void MembershipSimulation::CheckByteBudget() {
   for (std::size_t member = 0; member < kMembers; ++member) {
     if (!IsRunning(member)) {
       continue;
     }
-    const membership_simulation::HollowMember& life = group_->Life(member);
-    const membership::Member& self = life.Core().Self();
-    BytesSent& sent = sent_[{member, self.metadata->life, self.node}];
-    if (!life.Core().IsJoined()) {
+    const membership_simulation::HollowMember& process = group_->Process(member);
+    const membership::Member& self = process.Core().Self();
+    BytesSent& sent = sent_[{member, self.metadata->process_incarnation, self.node}];
+    if (!process.Core().IsJoined()) {
       sent.clear();  // not joined yet, so the budget does not apply
       continue;
     }
-    const std::uint64_t bytes = life.Counters().Of(transport::MessageKind::kMembership).sent_bytes;
+    const std::uint64_t bytes =
+        process.Counters().Of(transport::MessageKind::kMembership).sent_bytes;
     sent.emplace_back(simulator_.Now(), bytes);
     while (simulator_.Now() - sent.front().first > kBudgetWindow) {
       sent.pop_front();
     }
     if (bytes - sent.front().second > kBytesPerSecond + kAcknowledgementBytes) {
-      ReportViolation("sent more bytes in one second than the budget", member, self);
+      RecordViolation("sent more bytes in one second than the budget", member, self);
     }
   }
 }
 
-void MembershipWorld::CheckMember(std::size_t observer, const membership::Member& seen) {
-  const base::Incarnation observer_life = group_->Life(observer).Core().Self().metadata->life;
-  const ObservedState now{seen.incarnation, seen.state, seen.metadata->life};
-  const auto [place, is_new] = observed_.try_emplace({observer, observer_life, seen.node}, now);
+void MembershipSimulation::CheckMember(std::size_t observer, const membership::Member& seen) {
+  const base::Incarnation observer_incarnation =
+      group_->Process(observer).Core().Self().metadata->process_incarnation;
+  const ObservedState now{seen.incarnation, seen.state, seen.metadata->process_incarnation};
+  const auto [place, is_new] =
+      observed_.try_emplace({observer, observer_incarnation, seen.node}, now);
   const ObservedState before = std::exchange(place->second, now);
   if (!is_new &&
       std::tie(now.incarnation, now.state) < std::tie(before.incarnation, before.state)) {
-    ReportViolation("a view went back to an older record", observer, seen);
+    RecordViolation("a view went back to an older record", observer, seen);
   }
-  if (!is_new && now.life < before.life) {
-    ReportViolation("a view went back to an older process", observer, seen);
+  if (!is_new && now.process_incarnation < before.process_incarnation) {
+    RecordViolation("a view went back to an older process", observer, seen);
   }
   if (now.incarnation > issued_[seen.node]) {
-    ReportViolation("a view has an incarnation that the member never announced", observer, seen);
+    RecordViolation("a view has an incarnation that the member never announced", observer, seen);
   }
 }
 
-void MembershipWorld::ReportViolation(const std::string& rule, std::size_t observer,
-                                      const membership::Member& seen) {
+void MembershipSimulation::RecordViolation(const std::string& rule, std::size_t observer,
+                                           const membership::Member& seen) {
   if (violation_) {
     return;
   }
   std::ostringstream text;
   text << rule << ": member " << observer << " sees node " << seen.node << " "
        << membership::MemberStateName(seen.state) << " at " << seen.incarnation
-       << ", process incarnation " << seen.metadata->life;
+       << ", process incarnation " << seen.metadata->process_incarnation;
   violation_ = text.str();
 }
 
--- a/proofs/membership/src/membership_world.h
+++ b/proofs/membership/src/membership_simulation.h
@@ -26,16 +26,16 @@
 
 // Checks these rules at regular intervals:
 // - what an observer knows of a member never gets older, neither the incarnation with its state nor
-//   the process incarnation (`life`);
+//   the process incarnation;
 // - it is never newer than what the member has announced;
 // - a joined member stays within its byte budget in every second.
 // After Heal() every view must become correct within kConvergenceLimit.
-class MembershipWorld {
+class MembershipSimulation {
  public:
   static constexpr std::size_t kMembers = 7;
   static constexpr std::size_t kSeeds = 3;  // the first member of each zone
 
-  MembershipWorld(std::uint64_t seed, const membership::InjectedFaults& faults);
+  MembershipSimulation(std::uint64_t seed, const membership::InjectedFaults& faults);
 
   // Advances the simulation and checks all rules every kCheckInterval.
   void Run(base::Duration duration);
@@ -65,7 +65,7 @@
   struct ObservedState {
     base::Incarnation incarnation;
     membership::MemberState state = membership::MemberState::kAlive;
-    base::Incarnation life;
+    base::Incarnation process_incarnation;
   };
   // Total bytes sent by a member at the checks of the last second, oldest first.
   using BytesSent = std::deque<std::pair<base::TimePoint, std::uint64_t>>;
@@ -78,7 +78,7 @@
   void CheckViews();
   void CheckByteBudget();
   void CheckMember(std::size_t observer, const membership::Member& seen);
-  void ReportViolation(const std::string& rule, std::size_t observer,
+  void RecordViolation(const std::string& rule, std::size_t observer,
                        const membership::Member& seen);
 
   simulation::Simulator simulator_;
